--- a/features/steps/neighbours_steps.py
+++ b/features/steps/neighbours_steps.py
@@ -26,15 +26,15 @@
 @then('the other routers count {requests:d} request and {tokens:d} tokens to read there')
 def count(context: Any, requests: int, tokens: int) -> None:
     """Look at their lanes."""
-    for lane in context.cut.lanes()[1:]:
-        assert (lane.in_flight, lane.reading_tokens) == (requests, tokens), lane.in_flight
+    for backend in context.cut.backends()[1:]:
+        assert (backend.in_flight, backend.reading_tokens) == (requests, tokens), backend.in_flight
 
 
 @then('the other routers know that its shared part lies there')
 def knows(context: Any) -> None:
     """Look at their lanes."""
-    for lane in context.cut.lanes()[1:]:
-        assert context.cut.holds(lane)
+    for backend in context.cut.backends()[1:]:
+        assert context.cut.holds(backend)
 
 
 @then('the routers did not talk with each other in the last second')
--- a/features/steps/placing_steps.py
+++ b/features/steps/placing_steps.py
@@ -5,7 +5,7 @@
 from behave import then, when
 
 from endivesaddle.fleet.routes.declared import RouteServer
-from endivesaddle.fleet.routing.lanes import ForwardWant, Lane
+from endivesaddle.fleet.routing.backends import Backend, ForwardWant
 from endivesaddle.fleet.routing.placing import Setting, least_busy, placing_policies
 from subjects.placing import PlacingLoad
 from subjects.placing_bursts import BurstLoad
@@ -111,18 +111,18 @@
 def fail(context: Any, seconds: int) -> None:
     """Send steadily; note who is met while it fails and after."""
     servers = [RouteServer(f'life-{n}', 'plain', f'{n}:1', 'a', 6) for n in range(3)]
-    lanes = [Lane(server) for server in servers]
+    backends = [Backend(server) for server in servers]
     context.met = {'failing': [], 'mended': []}
     for number in range(PER_S * (MENDED_S + FAILING_S)):
         now_unix_s = number / PER_S
         want = ForwardWant(str(number), 'plain')
-        lane = least_busy(Setting(want, lanes, 'a', False, now_unix_s, number))
+        backend = least_busy(Setting(want, backends, 'a', False, now_unix_s, number))
         failing = now_unix_s < seconds
         if failing or now_unix_s > MENDED_S:
-            context.met['failing' if failing else 'mended'].append(lane is lanes[0])
-        lane.sent(want, now_unix_s)
-        lane.ended(want)
-        lane.fared(not failing or lane is not lanes[0], now_unix_s)
+            context.met['failing' if failing else 'mended'].append(backend is backends[0])
+        backend.sent(want, now_unix_s)
+        backend.ended(want)
+        backend.fared(not failing or backend is not backends[0], now_unix_s)
 
 
 @then('it is met by at most {most:d} of 100 requests while it fails')
--- a/features/subjects/cold_bursts.py
+++ b/features/subjects/cold_bursts.py
@@ -5,8 +5,8 @@
 
 from endivesaddle.fleet.routes.declared import Declared, RouteServer, Service
 from endivesaddle.fleet.routes.known import Known
+from endivesaddle.fleet.routing.backends import Backend
 from endivesaddle.fleet.routing.cold_starts import ColdStarts
-from endivesaddle.fleet.routing.lanes import Lane
 from subjects.random_routers import RandomRouters, busiest
 
 SEED = 11
@@ -39,8 +39,8 @@
         """Send requests at random routers while the server is cold."""
         end_unix_s = START_UNIX_S + COLD_S
         for arrival in self._drawn.arrivals(per_s, START_UNIX_S, end_unix_s):
-            cold, lane = self._routers[arrival.router]
-            if cold.enter(lane, arrival.here_unix_s):
+            cold, backend = self._routers[arrival.router]
+            if cold.enter(backend, arrival.here_unix_s):
                 self._sent_unix_s.append(arrival.now_unix_s)
 
     @property
@@ -56,11 +56,11 @@
 
 def _router(
     policy: str, known: Known, name: str, heard: tuple[str, ...]
-) -> tuple[ColdStarts, Lane]:
+) -> tuple[ColdStarts, Backend]:
     cold = ColdStarts(policy, known, name)
     cold.routers = heard
     cold.settled = True
-    return cold, Lane(SERVER)
+    return cold, Backend(SERVER)
 
 
 class WarmServer:
@@ -72,7 +72,7 @@
         service = Service('engines', 0, 9, 0, COLD_S, PER_S)
         known.declare(Declared(1, (), (service,), ()), b'', 'x')
         known.server(SERVER._replace(cold_until_unix_s=0), 'test')
-        self.lane = Lane(SERVER)
+        self.backend = Backend(SERVER)
         self.cold = ColdStarts('few_routers', known, 'router-0')
         self.now_unix_s = START_UNIX_S + 2 * COLD_S
 
@@ -80,4 +80,4 @@
         """Send requests."""
         for _ in range(per_s * seconds):
             self.now_unix_s += 1 / per_s
-            assert self.cold.enter(self.lane, self.now_unix_s)
+            assert self.cold.enter(self.backend, self.now_unix_s)
--- a/features/subjects/crashing_fleet.py
+++ b/features/subjects/crashing_fleet.py
@@ -251,8 +251,10 @@
         coming = [self._carry(number % len(self._runners), HARMLESS) for number in range(times)]
         under_way = asyncio.gather(*coming)
         await anyio.sleep(RUN_S / 2)
-        lanes = [lane for router in self._routers for lane in router.dispatcher.lanes.all()]
-        running = {lane.server.lifetime for lane in lanes if lane.own_in_flight}
+        backends = [
+            backend for router in self._routers for backend in router.dispatcher.backends.all()
+        ]
+        running = {backend.server.lifetime for backend in backends if backend.own_in_flight}
         for lifetime in running:
             self._servers.end(lifetime)
         assert {sink.status for sink in await under_way} == {502}
@@ -261,9 +263,9 @@
     async def _lose_harmless(self) -> None:
         lost = asyncio.ensure_future(self._carry(0, HARMLESS))
         await anyio.sleep(RUN_S / 2)
-        for lane in self._routers[0].dispatcher.lanes.all():
-            if lane.own_in_flight:
-                self._servers.end(lane.server.lifetime)
+        for backend in self._routers[0].dispatcher.backends.all():
+            if backend.own_in_flight:
+                self._servers.end(backend.server.lifetime)
         assert (await lost).status == 502
         assert (await self._carry(0, HARMLESS)).status == 200
         await anyio.sleep(START_S)
--- a/features/subjects/desks.py
+++ b/features/subjects/desks.py
@@ -9,8 +9,8 @@
 from endivesaddle.fleet.ports import Handlers
 from endivesaddle.fleet.routes.declared import RouteServer
 from endivesaddle.fleet.routes.desks import SidecarDesks, answer_desk
+from endivesaddle.fleet.routing.backends import Backends, ForwardWant
 from endivesaddle.fleet.routing.engine_desk import EngineDesk, Load
-from endivesaddle.fleet.routing.lanes import ForwardWant, Lanes
 from endivesaddle.stand_ins.memory_peers import MemoryNet
 from endivesaddle.wire import rpcs
 from subjects.links_loop import ScenarioLoop
@@ -81,10 +81,10 @@
             self._net.serve(address, handlers)
             addresses.append(address)
         self._net.observers.append(self._observe)
-        self.lanes = Lanes()
+        self.backends = Backends()
         peers = self._net.peers('10.0.0.1:1')
         roster = Sidecars(tuple(addresses))
-        self.router = SidecarDesks(self.lanes, roster, peers, self._clock, ROUTER)
+        self.router = SidecarDesks(self.backends, roster, peers, self._clock, ROUTER)
         self._task = asyncio.ensure_future(self.router.run())
 
     async def _observe(self, moment: object) -> None:
@@ -104,15 +104,15 @@
 
     async def _prompt(self, tokens: int) -> None:
         self._carried += 1
-        lane = self.lanes.of(self._servers[self._carried % len(self._servers)])
+        backend = self.backends.of(self._servers[self._carried % len(self._servers)])
         want = ForwardWant(f'r-{self._carried}', 'engines', (), tokens, 100)
-        lane.sent(want, self._clock.now_s())
+        backend.sent(want, self._clock.now_s())
         await anyio.sleep(ENDS_S / 2)
-        lane.began(want)
-        self.router.changed(lane, soon=tokens >= LONG_TOKENS)
+        backend.began(want)
+        self.router.changed(backend, soon=tokens >= LONG_TOKENS)
         await anyio.sleep(ENDS_S / 2)
-        lane.ended(want)
-        self.router.changed(lane, soon=False)
+        backend.ended(want)
+        self.router.changed(backend, soon=False)
 
     async def _oldest_s(self) -> float:
         return self._clock.now_s() - min(self.heard_unix_s.values())
--- a/features/subjects/forward_runs.py
+++ b/features/subjects/forward_runs.py
@@ -27,10 +27,10 @@
 from endivesaddle.fleet.routes.known import Known
 from endivesaddle.fleet.routes.running import Runner
 from endivesaddle.fleet.routes.wallet import Wallet, WalletParts
+from endivesaddle.fleet.routing.backends import Backend
 from endivesaddle.fleet.routing.choosing import NoDesks
 from endivesaddle.fleet.routing.dispatcher import Dispatcher
 from endivesaddle.fleet.routing.forward_settings import ForwardSettings
-from endivesaddle.fleet.routing.lanes import Lane
 from endivesaddle.fleet.seams import NeverSent, ServerLost
 from endivesaddle.fleet.sentinels import Refusal
 from endivesaddle.stand_ins.memory_peers import MemoryNet
@@ -237,7 +237,7 @@
         """Start at none."""
         self.soon_count = 0
 
-    def changed(self, lane: Lane, soon: bool) -> None:
+    def changed(self, backend: Backend, soon: bool) -> None:
         """Count a word that does not wait."""
         self.soon_count += soon
 
--- a/features/subjects/homes.py
+++ b/features/subjects/homes.py
@@ -62,7 +62,7 @@
     def regions(self) -> set[str]:
         """Return the regions in which requests were placed."""
         places = [outcome for outcome in self.outcomes if isinstance(outcome, Place)]
-        return {REGIONS[place.lane.server.data_centre] for place in places}
+        return {REGIONS[place.backend.server.data_centre] for place in places}
 
     async def _place(self, number: int) -> None:
         book = self._known.book
--- a/features/subjects/limited_server.py
+++ b/features/subjects/limited_server.py
@@ -2,7 +2,7 @@
 
 from endivesaddle.fleet.routes.advertised_limits import AdvertisedLimits
 from endivesaddle.fleet.routes.declared import RouteServer
-from endivesaddle.fleet.routing.lanes import Lane
+from endivesaddle.fleet.routing.backends import Backend
 from endivesaddle.fleet.routing.limit_shares import LimitShares
 from subjects.random_routers import RandomRouters, busiest
 
@@ -29,7 +29,7 @@
                 self._advertised, names, self._drawn.known, strict=True
             )
         ]
-        self._lanes = [Lane(SERVER) for _ in names]
+        self._backends = [Backend(SERVER) for _ in names]
         self._sent_unix_s: list[float] = []
 
     def play(self, per_s: float) -> None:
@@ -40,9 +40,9 @@
             if arrival.now_unix_s - named_unix_s >= NAMED_EACH_S:
                 named_unix_s = arrival.now_unix_s
                 self._name(named_unix_s)
-            share, lane = self._shares[arrival.router], self._lanes[arrival.router]
-            if share.takes(lane, arrival.here_unix_s):
-                share.count(lane, arrival.here_unix_s)
+            share, backend = self._shares[arrival.router], self._backends[arrival.router]
+            if share.takes(backend, arrival.here_unix_s):
+                share.count(backend, arrival.here_unix_s)
                 self._sent_unix_s.append(arrival.now_unix_s)
 
     @property
--- a/features/subjects/placing.py
+++ b/features/subjects/placing.py
@@ -7,7 +7,7 @@
 from random import Random
 
 from endivesaddle.fleet.routes.declared import RouteServer
-from endivesaddle.fleet.routing.lanes import ForwardWant, Lane
+from endivesaddle.fleet.routing.backends import Backend, ForwardWant
 from endivesaddle.fleet.routing.placing import Setting, placing_policies
 
 READ_TOKENS_PER_S = 120_000.0
@@ -49,7 +49,7 @@
         """Start idle; each router has lanes of its own, and tells others where parts went."""
         servers = [RouteServer(f'life-{n}', 'engines', f'{n}:1', 'a', 64) for n in range(engines)]
         self._engines = {server.lifetime: Engine() for server in servers}
-        self._routers = [[Lane(server) for server in servers] for _ in range(routers)]
+        self._routers = [[Backend(server) for server in servers] for _ in range(routers)]
         self._told = told
         self._telling: list[tuple[float, str, ForwardWant]] = []
         self.late = 0
@@ -64,20 +64,20 @@
     def play(self, policy: str, per_s: float, seconds: float, hot_share: float) -> None:
         """Send requests; ``hot_share`` of them are about one subject."""
         random = Random(5)
-        waiting: list[tuple[float, Lane, ForwardWant]] = []
+        waiting: list[tuple[float, Backend, ForwardWant]] = []
         for number in range(int(per_s * seconds)):
             now_unix_s = number / per_s
             waiting = _began(waiting, now_unix_s)
             self._tell(now_unix_s)
             subject = 0 if random.random() < hot_share else random.randrange(SUBJECTS)
             want = _want(number, subject)
-            lanes = self._routers[random.randrange(len(self._routers))]
-            setting = Setting(want, lanes, 'a', True, now_unix_s, number)
-            lane = placing_policies.find(policy)(setting)
-            lane.sent(want, now_unix_s)
-            self._telling.append((now_unix_s + TELL_S, lane.server.lifetime, want))
-            first_unix_s = self._engines[lane.server.lifetime].read(want, now_unix_s)
-            waiting.append((first_unix_s, lane, want))
+            backends = self._routers[random.randrange(len(self._routers))]
+            setting = Setting(want, backends, 'a', True, now_unix_s, number)
+            backend = placing_policies.find(policy)(setting)
+            backend.sent(want, now_unix_s)
+            self._telling.append((now_unix_s + TELL_S, backend.server.lifetime, want))
+            first_unix_s = self._engines[backend.server.lifetime].read(want, now_unix_s)
+            waiting.append((first_unix_s, backend, want))
             self.count += 1
             self.late += first_unix_s - now_unix_s > GOAL_S
 
@@ -87,17 +87,17 @@
         if not self._told:
             return
         for _, lifetime, want in due:
-            for lanes in self._routers:
-                lane = next(one for one in lanes if one.server.lifetime == lifetime)
-                lane.hold([want.parts[0][0]], now_unix_s)
+            for backends in self._routers:
+                backend = next(one for one in backends if one.server.lifetime == lifetime)
+                backend.hold([want.parts[0][0]], now_unix_s)
 
 
 def _began(
-    waiting: list[tuple[float, Lane, ForwardWant]], now_unix_s: float
-) -> list[tuple[float, Lane, ForwardWant]]:
-    for first_unix_s, lane, want in waiting:
+    waiting: list[tuple[float, Backend, ForwardWant]], now_unix_s: float
+) -> list[tuple[float, Backend, ForwardWant]]:
+    for first_unix_s, backend, want in waiting:
         if first_unix_s <= now_unix_s:
-            lane.ended(want)
+            backend.ended(want)
     return [entry for entry in waiting if entry[0] > now_unix_s]
 
 
--- a/features/subjects/placing_bursts.py
+++ b/features/subjects/placing_bursts.py
@@ -7,8 +7,8 @@
 from random import Random
 
 from endivesaddle.fleet.routes.declared import RouteServer
+from endivesaddle.fleet.routing.backends import Backend, ForwardWant
 from endivesaddle.fleet.routing.dispatcher import LARGE_TOKENS
-from endivesaddle.fleet.routing.lanes import ForwardWant, Lane
 from endivesaddle.fleet.routing.placing import Setting, placing_policies
 from subjects.placing import Engine
 
@@ -31,9 +31,9 @@
         """Start idle; ``at_once`` tells large prompts without waiting for the next talk."""
         servers = [RouteServer(f'life-{n}', 'engines', f'{n}:1', 'a', 64) for n in range(engines)]
         self._engines = {server.lifetime: Engine() for server in servers}
-        self._routers = [[Lane(server) for server in servers] for _ in range(routers)]
+        self._routers = [[Backend(server) for server in servers] for _ in range(routers)]
         self._at_once = at_once
-        self._waiting: list[tuple[float, Lane, ForwardWant]] = []
+        self._waiting: list[tuple[float, Backend, ForwardWant]] = []
         self._talk_unix_s = 0.0
         self.late = 0
         self.count = 0
@@ -51,22 +51,22 @@
         self._began(now_unix_s)
         self._talk(now_unix_s)
         want = ForwardWant(str(self.count), 'engines', ((f'o{self.count}', tokens),), tokens, 100)
-        lanes = random.choice(self._routers)
-        lane = placing_policies.find(policy)(
-            Setting(want, lanes, 'a', True, now_unix_s, self.count)
+        backends = random.choice(self._routers)
+        backend = placing_policies.find(policy)(
+            Setting(want, backends, 'a', True, now_unix_s, self.count)
         )
-        lane.sent(want, now_unix_s)
+        backend.sent(want, now_unix_s)
         if self._at_once and tokens >= LARGE_TOKENS:
             self._talk_unix_s = min(self._talk_unix_s, now_unix_s + TOLD_S)
-        first_unix_s = self._engines[lane.server.lifetime].read(want, now_unix_s)
-        self._waiting.append((first_unix_s, lane, want))
+        first_unix_s = self._engines[backend.server.lifetime].read(want, now_unix_s)
+        self._waiting.append((first_unix_s, backend, want))
         self.count += 1
         self.late += first_unix_s - now_unix_s > GOAL_S
 
     def _began(self, now_unix_s: float) -> None:
-        for first_unix_s, lane, want in self._waiting:
+        for first_unix_s, backend, want in self._waiting:
             if first_unix_s <= now_unix_s:
-                lane.ended(want)
+                backend.ended(want)
         self._waiting = [entry for entry in self._waiting if entry[0] > now_unix_s]
 
     def _talk(self, now_unix_s: float) -> None:
@@ -74,7 +74,9 @@
             return
         self._talk_unix_s = now_unix_s + TALK_S
         for own in self._routers:
-            others = [lanes for lanes in self._routers if lanes is not own]
-            for number, lane in enumerate(own):
-                lane.elsewhere = sum(lanes[number].own_in_flight for lanes in others)
-                lane.elsewhere_reading = sum(lanes[number].own_reading_tokens for lanes in others)
+            others = [backends for backends in self._routers if backends is not own]
+            for number, backend in enumerate(own):
+                backend.elsewhere = sum(backends[number].own_in_flight for backends in others)
+                backend.elsewhere_reading = sum(
+                    backends[number].own_reading_tokens for backends in others
+                )
--- a/features/subjects/placing_desks.py
+++ b/features/subjects/placing_desks.py
@@ -7,9 +7,9 @@
 from random import Random
 
 from endivesaddle.fleet.routes.declared import RouteServer
+from endivesaddle.fleet.routing.backends import Backend, ForwardWant
 from endivesaddle.fleet.routing.choosing import Desks, NoDesks, choose
 from endivesaddle.fleet.routing.engine_desk import EngineDesk, Load, Word
-from endivesaddle.fleet.routing.lanes import ForwardWant, Lane
 from endivesaddle.fleet.routing.placing import Setting, placing_policies
 from subjects.links_loop import ScenarioLoop
 
@@ -29,24 +29,24 @@
         self._load = load
         self._router = router
 
-    async def ask(self, lane: Lane, tokens: int, most_tokens: int) -> bool:
+    async def ask(self, backend: Backend, tokens: int, most_tokens: int) -> bool:
         """Ask the desk of the engine."""
-        desk = self._load.desks[lane.server.lifetime]
-        taken_up = desk.ask(self._word(lane), tokens, most_tokens, self._load.now_unix_s)
-        self._hear(desk, lane)
+        desk = self._load.desks[backend.server.lifetime]
+        taken_up = desk.ask(self._word(backend), tokens, most_tokens, self._load.now_unix_s)
+        self._hear(desk, backend)
         return taken_up
 
-    def changed(self, lane: Lane, soon: bool) -> None:
+    def changed(self, backend: Backend, soon: bool) -> None:
         """Tell the desk of the engine."""
-        self._load.desks[lane.server.lifetime].tell(self._word(lane), self._load.now_unix_s)
+        self._load.desks[backend.server.lifetime].tell(self._word(backend), self._load.now_unix_s)
 
-    def _hear(self, desk: EngineDesk, lane: Lane) -> None:
+    def _hear(self, desk: EngineDesk, backend: Backend) -> None:
         others = desk.others(str(self._router), self._load.now_unix_s)
-        lane.heard(others.in_flight, others.reading_tokens, self._load.now_unix_s)
+        backend.heard(others.in_flight, others.reading_tokens, self._load.now_unix_s)
 
-    def _word(self, lane: Lane) -> Word:
+    def _word(self, backend: Backend) -> Word:
         self._load.words += 1
-        load = Load(lane.own_reading_tokens, lane.own_in_flight)
+        load = Load(backend.own_reading_tokens, backend.own_in_flight)
         return Word(str(self._router), self._load.words, load)
 
 
@@ -62,9 +62,9 @@
         self.late = 0
         self.count = 0
         self._free_unix_s = dict.fromkeys(self.desks, 0.0)
-        self._routers = [[Lane(server) for server in servers] for _ in range(routers)]
+        self._routers = [[Backend(server) for server in servers] for _ in range(routers)]
         self._ways: list[Desks] = [Told(self, n) if asked else NoDesks() for n in range(routers)]
-        self._waiting: list[tuple[float, int, Lane, ForwardWant]] = []
+        self._waiting: list[tuple[float, int, Backend, ForwardWant]] = []
         self._talk_unix_s = 0.0
 
     def play(self, per_s: float, seconds: float) -> None:
@@ -83,20 +83,20 @@
         want = ForwardWant(str(self.count), 'engines', ((f'o{self.count}', tokens),), tokens, 100)
         setting = Setting(want, self._routers[router], 'a', True, self.now_unix_s, self.count)
         policy = placing_policies.find('earliest_first_event')
-        lane = await choose(setting, policy, self._ways[router])
-        lane.sent(want, self.now_unix_s)
-        name = lane.server.lifetime
+        backend = await choose(setting, policy, self._ways[router])
+        backend.sent(want, self.now_unix_s)
+        name = backend.server.lifetime
         start_unix_s = max(self.now_unix_s, self._free_unix_s[name])
         self._free_unix_s[name] = start_unix_s + tokens / READ_TOKENS_PER_S
-        self._waiting.append((self._free_unix_s[name], router, lane, want))
+        self._waiting.append((self._free_unix_s[name], router, backend, want))
         self.count += 1
         self.late += self._free_unix_s[name] - self.now_unix_s > GOAL_S
 
     def _began(self) -> None:
-        for first_unix_s, router, lane, want in self._waiting:
+        for first_unix_s, router, backend, want in self._waiting:
             if first_unix_s <= self.now_unix_s:
-                lane.ended(want)
-                self._ways[router].changed(lane, soon=True)
+                backend.ended(want)
+                self._ways[router].changed(backend, soon=True)
         self._waiting = [entry for entry in self._waiting if entry[0] > self.now_unix_s]
 
     def _talk(self) -> None:
@@ -104,9 +104,9 @@
             return
         self._talk_unix_s = self.now_unix_s + TALK_S
         for number, _ in enumerate(self.desks):
-            lanes = [lanes[number] for lanes in self._routers]
-            requests = sum(lane.own_in_flight for lane in lanes)
-            tokens = sum(lane.own_reading_tokens for lane in lanes)
-            for lane in lanes:
-                lane.elsewhere = requests - lane.own_in_flight
-                lane.elsewhere_reading = tokens - lane.own_reading_tokens
+            backends = [backends[number] for backends in self._routers]
+            requests = sum(backend.own_in_flight for backend in backends)
+            tokens = sum(backend.own_reading_tokens for backend in backends)
+            for backend in backends:
+                backend.elsewhere = requests - backend.own_in_flight
+                backend.elsewhere_reading = tokens - backend.own_reading_tokens
--- a/features/subjects/saying_servers.py
+++ b/features/subjects/saying_servers.py
@@ -140,7 +140,7 @@
         await anyio.sleep(seconds)
         for router in self._routers:
             present = set(router.known.servers)
-            router.dispatcher.lanes.drop_all_but(present, self._clock.now_s())
+            router.dispatcher.backends.drop_all_but(present, self._clock.now_s())
 
     def _start_router(self, number: int) -> None:
         name = f'router-{number}'
--- a/features/subjects/store_relay.py
+++ b/features/subjects/store_relay.py
@@ -19,8 +19,8 @@
 from endivesaddle.fleet.routes.reservation import Reservation
 from endivesaddle.fleet.routes.roster import PREFIX, ROUTER, SIDECAR, Entry, Instance, Roster
 from endivesaddle.fleet.routes.ways import SHARED, MadeCall
+from endivesaddle.fleet.routing.backends import Backend, ForwardWant
 from endivesaddle.fleet.routing.dispatcher import Place
-from endivesaddle.fleet.routing.lanes import ForwardWant, Lane
 from endivesaddle.fleet.sentinels import Refusal
 from endivesaddle.stand_ins.memory_peers import Fault, MemoryNet
 from endivesaddle.stand_ins.memory_store import MemoryStore
@@ -155,13 +155,13 @@
         own = self.routers[router].address
         self.net.part({own}, addresses - {own})
 
-    def lanes(self) -> list[Lane]:
+    def backends(self) -> list[Backend]:
         """Return each router's lane of the one backend server."""
-        return [router.dispatcher.lanes.of(SERVER) for router in self.routers]
+        return [router.dispatcher.backends.of(SERVER) for router in self.routers]
 
-    def holds(self, lane: Lane) -> bool:
+    def holds(self, backend: Backend) -> bool:
         """Tell whether a lane is believed to hold the shared part."""
-        return self._loop.run(self._holds, lane)
+        return self._loop.run(self._holds, backend)
 
     def relayed(self) -> int:
         """Return how many calls the sidecars were asked to make."""
@@ -176,10 +176,10 @@
         self.in_vain[router] += made.way == SHARED and made.outcome == 'unreachable'
 
     async def _begin(self, router: int, want: ForwardWant) -> None:
-        Place(self.routers[router].dispatcher, self.lanes()[router], want).begin()
+        Place(self.routers[router].dispatcher, self.backends()[router], want).begin()
 
-    async def _holds(self, lane: Lane) -> bool:
-        return lane.holds(SHARED_PART, self._clock.now_s())
+    async def _holds(self, backend: Backend) -> bool:
+        return backend.holds(SHARED_PART, self._clock.now_s())
 
     async def _start(self, routers: int, sidecars: int) -> None:
         for number in range(sidecars):
--- a/packages/daemon/src/endivesaddle/daemon/forwarder.py
+++ b/packages/daemon/src/endivesaddle/daemon/forwarder.py
@@ -63,7 +63,7 @@
         )
         self._call_times = peers.times
         self._desks = SidecarDesks(
-            self.parts.dispatcher.lanes, self.parts.roster, peers, clock, place.lifetime
+            self.parts.dispatcher.backends, self.parts.roster, peers, clock, place.lifetime
         )
         self.parts.dispatcher.desks = self._desks
         self._settings = settings
@@ -212,6 +212,6 @@
             self.parts.store.hubs = self.parts.roster.hubs
             self.parts.wallet.routers = len(self.parts.roster.others) + 1
             present = set(self.parts.known.servers)
-            self.parts.dispatcher.lanes.drop_all_but(present, self._clock.now_s())
+            self.parts.dispatcher.backends.drop_all_but(present, self._clock.now_s())
             for lifetime in links.lifetimes() - present:
                 links.drop(lifetime)
--- a/packages/fleet/src/endivesaddle/fleet/routes/carrying.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/carrying.py
@@ -93,8 +93,8 @@
             if isinstance(place, Refusal):
                 await self._give_up(place)
                 return
-            self._tried.add(place.lane.server.lifetime)
-            self._at = place.lane.server
+            self._tried.add(place.backend.server.lifetime)
+            self._at = place.backend.server
             self._sent_unix_s = self._parts.clock.now_s()
             outcome = await self._send(place)
             self._at = None
@@ -114,15 +114,15 @@
     async def _send(self, place: Place) -> Outcome:
         """Send it to one server and pass on what comes."""
         request = self.request
-        server = place.lane.server
+        server = place.backend.server
         call = self._call(place)
         events.PLACED.log(
             request_id=request.request_id,
             server=server.lifetime,
             sending=len(self._tried),
             unread_tokens=place.unread_tokens,
-            in_flight=place.lane.in_flight,
-            reading_tokens=place.lane.reading_tokens,
+            in_flight=place.backend.in_flight,
+            reading_tokens=place.backend.reading_tokens,
             servers_heard_s=self._parts.dispatcher.servers_heard_s(),
         )
         place.begin()
@@ -149,7 +149,7 @@
     async def _lost(self, place: Place, reason: str) -> Outcome:
         """Learn from a run that broke whether its server ended, and under which request."""
         outcome = self._failed(place, Outcome.LOST, reason)
-        server = place.lane.server
+        server = place.backend.server
         if await self._parts.crashes.broke(self.request.digest(), server, self._sent_unix_s):
             place.silent(ended=True)
         return outcome
@@ -159,7 +159,7 @@
         request = self.request
         return ServerCall(
             request,
-            place.lane.server,
+            place.backend.server,
             request.end_unix_s,
             last_event,
             place.admitted,
@@ -168,7 +168,7 @@
     def _failed(self, place: Place, outcome: Outcome, reason: str) -> Outcome:
         events.SENDING_FAILED.log(
             request_id=self.request.request_id,
-            server=place.lane.server.lifetime,
+            server=place.backend.server.lifetime,
             outcome=outcome.value,
             events=self._progress.events,
             # Tells which attempts are the same request: each has an id of its own.
@@ -287,7 +287,7 @@
         first_s = (self._first_unix_s or now_unix_s) - self.request.began_unix_s
         events.ANSWERED.log(
             request_id=self.request.request_id,
-            server=place.lane.server.lifetime,
+            server=place.backend.server.lifetime,
             status=status,
             events=self._progress.events,
             first_s=round(first_s, 4),
--- a/packages/fleet/src/endivesaddle/fleet/routes/desks.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/desks.py
@@ -11,8 +11,8 @@
 from endivesaddle.fleet.routes import sidecar_events
 from endivesaddle.fleet.routes.avoided import Avoided
 from endivesaddle.fleet.routes.roster import Roster
+from endivesaddle.fleet.routing.backends import Backend, Backends
 from endivesaddle.fleet.routing.engine_desk import EngineDesk, Load, Word
-from endivesaddle.fleet.routing.lanes import Lane, Lanes
 from endivesaddle.wire import rpcs
 from endivesaddle.wire.routers_pb2 import EnterReply, EnterRequest
 
@@ -31,10 +31,10 @@
     """One router's words to the sidecars beside engines; one task tells what changed."""
 
     def __init__(
-        self, lanes: Lanes, roster: Roster, peers: Peers, clock: Clock, lifetime: str
+        self, backends: Backends, roster: Roster, peers: Peers, clock: Clock, lifetime: str
     ) -> None:
         """Speak as ``lifetime``; a sidecar stands beside the servers of its host."""
-        self._lanes = lanes
+        self._backends = backends
         self._roster = roster
         self._peers = peers
         self._clock = clock
@@ -43,32 +43,32 @@
         self._avoided = Avoided(clock, AVOID_S, LONGEST_AVOID_S)
         self._by_host: dict[str, str] = {}
         self._by_host_of: Collection[str] = ()
-        self._changed: dict[str, Lane] = {}
-        self._soon: dict[str, Lane] = {}
+        self._changed: dict[str, Backend] = {}
+        self._soon: dict[str, Backend] = {}
         self._any_soon = anyio.Event()
 
-    async def ask(self, lane: Lane, tokens: int, most_tokens: int) -> bool:
+    async def ask(self, backend: Backend, tokens: int, most_tokens: int) -> bool:
         """Ask for a place for a prompt; True where it may go there, or nobody could be asked."""
-        address = self._beside(lane)
+        address = self._beside(backend)
         if not address:
             return True
-        word = self._word(lane)
+        word = self._word(backend)
         word.asked_tokens = tokens
         word.most_tokens = most_tokens
-        lane.asking += 1
-        lane.asking_tokens += tokens
+        backend.asking += 1
+        backend.asking_tokens += tokens
         try:
-            reply = await self._enter(address, lane, word)
+            reply = await self._enter(address, backend, word)
         finally:
-            lane.asking -= 1
-            lane.asking_tokens -= tokens
+            backend.asking -= 1
+            backend.asking_tokens -= tokens
         return reply is None or reply.taken_up
 
-    def changed(self, lane: Lane, soon: bool) -> None:
+    def changed(self, backend: Backend, soon: bool) -> None:
         """Tell what is under way at an engine now, ``soon`` or with the next word."""
-        self._changed[lane.server.lifetime] = lane
+        self._changed[backend.server.lifetime] = backend
         if soon:
-            self._soon[lane.server.lifetime] = lane
+            self._soon[backend.server.lifetime] = backend
             self._any_soon.set()
 
     async def run(self) -> None:
@@ -83,23 +83,23 @@
                 if self._clock.now_s() >= refresh_unix_s:
                     refresh_unix_s = self._clock.now_s() + REFRESH_S
                     self._refresh()
-                for lane in self._soon.values():
-                    group.start_soon(self._tell, lane)
+                for backend in self._soon.values():
+                    group.start_soon(self._tell, backend)
                 self._soon = {}
 
     def _refresh(self) -> None:
         self._soon.update(self._changed)
         self._changed = {}
-        for lane in self._lanes.all():
-            if lane.own_in_flight:
-                self._soon[lane.server.lifetime] = lane
+        for backend in self._backends.all():
+            if backend.own_in_flight:
+                self._soon[backend.server.lifetime] = backend
 
-    async def _tell(self, lane: Lane) -> None:
-        address = self._beside(lane)
+    async def _tell(self, backend: Backend) -> None:
+        address = self._beside(backend)
         if address:
-            await self._enter(address, lane, self._word(lane))
+            await self._enter(address, backend, self._word(backend))
 
-    async def _enter(self, address: str, lane: Lane, word: EnterRequest) -> EnterReply | None:
+    async def _enter(self, address: str, backend: Backend, word: EnterRequest) -> EnterReply | None:
         try:
             reply = await self._peers.call(address, rpcs.ENTER, word, self._clock.now_s() + ASK_S)
         except (FleetError, TimeoutError) as error:
@@ -107,24 +107,24 @@
             self._avoided.failed(address)
             return None
         self._avoided.answered(address)
-        lane.heard(reply.in_flight, reply.reading_tokens, self._clock.now_s())
+        backend.heard(reply.in_flight, reply.reading_tokens, self._clock.now_s())
         return reply
 
-    def _word(self, lane: Lane) -> EnterRequest:
-        self._changed.pop(lane.server.lifetime, None)
+    def _word(self, backend: Backend) -> EnterRequest:
+        self._changed.pop(backend.server.lifetime, None)
         return EnterRequest(
             lifetime=self._lifetime,
             number=next(self._numbers),
-            reading_tokens=lane.own_reading_tokens + lane.asking_tokens,
-            in_flight=lane.own_in_flight + lane.asking,
+            reading_tokens=backend.own_reading_tokens + backend.asking_tokens,
+            in_flight=backend.own_in_flight + backend.asking,
         )
 
-    def _beside(self, lane: Lane) -> str:
+    def _beside(self, backend: Backend) -> str:
         """Return the address of the sidecar beside an engine, '' where none can be asked."""
         if self._by_host_of is not self._roster.sidecars:
             self._by_host_of = self._roster.sidecars
             self._by_host = {_host(address): address for address in self._by_host_of}
-        address = self._by_host.get(_host(lane.server.address), '')
+        address = self._by_host.get(_host(backend.server.address), '')
         return address if self._avoided.usable(address) else ''
 
 
--- a/packages/fleet/src/endivesaddle/fleet/routes/forwarded.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/forwarded.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple, Protocol
 
 from endivesaddle.fleet.routes.declared import Route, RouteAccount, RouteServer
-from endivesaddle.fleet.routing.lanes import ForwardWant
+from endivesaddle.fleet.routing.backends import ForwardWant
 from endivesaddle.fleet.sentinels import Refusal
 
 DIGEST_BYTES = 16
--- a/packages/fleet/src/endivesaddle/fleet/routes/neighbours.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/neighbours.py
@@ -271,9 +271,9 @@
         self._lanes[word.lifetime] = (self._clock.now_s(), tuple(word.lanes))
         self._news.hear(word.news, word.address)
         for sent in word.parts:
-            lane = self._parts.dispatcher.lanes.find(sent.server)
-            if lane is not None:
-                lane.hold(sent.parts, self._clock.now_s())
+            backend = self._parts.dispatcher.backends.find(sent.server)
+            if backend is not None:
+                backend.hold(sent.parts, self._clock.now_s())
 
     def _sum_up(self) -> None:
         """Add up what the neighbours have under way at each server."""
@@ -285,19 +285,19 @@
             for word in lanes:
                 requests[word.server] += word.in_flight
                 tokens[word.server] += word.reading_tokens
-        self._parts.dispatcher.lanes.told(
+        self._parts.dispatcher.backends.told(
             {server: (count, tokens[server]) for server, count in requests.items()},
             self._clock.now_s(),
         )
 
 
 def _lane_words(dispatcher: Dispatcher) -> Iterable[routers_pb2.LaneWord]:
-    for lane in dispatcher.lanes.all():
-        if lane.own_in_flight:
+    for backend in dispatcher.backends.all():
+        if backend.own_in_flight:
             yield routers_pb2.LaneWord(
-                server=lane.server.lifetime,
-                in_flight=lane.own_in_flight,
-                reading_tokens=lane.own_reading_tokens,
+                server=backend.server.lifetime,
+                in_flight=backend.own_in_flight,
+                reading_tokens=backend.own_reading_tokens,
             )
 
 
--- a/packages/fleet/src/endivesaddle/fleet/routing/lanes.py
+++ b/packages/fleet/src/endivesaddle/fleet/routing/backends.py
@@ -50,7 +50,7 @@
         return self.parts[-2][0] if len(self.parts) > 1 else ''
 
 
-class Lane:
+class Backend:
     """One server as this router met it."""
 
     def __init__(self, server: RouteServer) -> None:
@@ -208,26 +208,26 @@
         return tokens is not None
 
 
-class Lanes:
+class Backends:
     """The lanes of all known servers."""
 
     def __init__(self) -> None:
         """Start without any."""
-        self._lanes: dict[str, Lane] = {}
+        self._backends: dict[str, Backend] = {}
 
-    def of(self, server: RouteServer) -> Lane:
+    def of(self, server: RouteServer) -> Backend:
         """Return the lane of a server."""
-        lane = self._lanes.get(server.lifetime)
-        if lane is None or lane.server.born_unix_ms != server.born_unix_ms:
+        backend = self._backends.get(server.lifetime)
+        if backend is None or backend.server.born_unix_ms != server.born_unix_ms:
             # Started again, a server keeps nothing of before: no parts, no work, no failures.
-            lane = Lane(server)
-            self._lanes[server.lifetime] = lane
-        lane.server = server
-        return lane
+            backend = Backend(server)
+            self._backends[server.lifetime] = backend
+        backend.server = server
+        return backend
 
-    def find(self, lifetime: str) -> Lane | None:
+    def find(self, lifetime: str) -> Backend | None:
         """Return the lane of a server that was met or listed, if any."""
-        return self._lanes.get(lifetime)
+        return self._backends.get(lifetime)
 
     def drop_all_but(self, lifetimes: set[str], now_unix_s: float) -> None:
         """Forget servers that are gone and have nothing under way.
@@ -235,26 +235,26 @@
         Not one that wants nothing for a while: its entry may be back before that is over, and
         without the lane it would get requests at once.
         """
-        for lifetime in set(self._lanes) - lifetimes:
-            lane = self._lanes[lifetime]
-            if not lane.own_in_flight and lane.wanted(now_unix_s):
-                del self._lanes[lifetime]
+        for lifetime in set(self._backends) - lifetimes:
+            backend = self._backends[lifetime]
+            if not backend.own_in_flight and backend.wanted(now_unix_s):
+                del self._backends[lifetime]
 
     def told(self, loads: dict[str, tuple[int, int]], now_unix_s: float) -> None:
         """Take in what other routers have at each server: requests, and tokens to read.
 
         What the sidecar beside a server said just now is better than their words.
         """
-        for lifetime, lane in self._lanes.items():
-            if now_unix_s - lane.heard_unix_s < HEARD_S:
+        for lifetime, backend in self._backends.items():
+            if now_unix_s - backend.heard_unix_s < HEARD_S:
                 continue
             requests, tokens = loads.get(lifetime, (0, 0))
-            lane.elsewhere = requests
-            lane.elsewhere_reading = tokens
+            backend.elsewhere = requests
+            backend.elsewhere_reading = tokens
 
-    def all(self) -> tuple[Lane, ...]:
+    def all(self) -> tuple[Backend, ...]:
         """Return every lane."""
-        return tuple(self._lanes.values())
+        return tuple(self._backends.values())
 
 
 def is_engine(service: Service | None) -> bool:
--- a/packages/fleet/src/endivesaddle/fleet/routing/candidates.py
+++ b/packages/fleet/src/endivesaddle/fleet/routing/candidates.py
@@ -5,7 +5,7 @@
 from endivesaddle.fleet.routes.declared import RouteServer
 from endivesaddle.fleet.routes.forwarded import ForwardRequest
 from endivesaddle.fleet.routes.known import Known
-from endivesaddle.fleet.routing.lanes import Lane, Lanes
+from endivesaddle.fleet.routing.backends import Backend, Backends
 from endivesaddle.fleet.routing.sending_bounds import SendingBounds
 
 EVACUATED_S = 2.0
@@ -24,26 +24,28 @@
     """The servers of one router; ``regions`` are "data-centre=region"."""
 
     def __init__(
-        self, known: Known, lanes: Lanes, bounds: SendingBounds, regions: tuple[str, ...]
+        self, known: Known, backends: Backends, bounds: SendingBounds, regions: tuple[str, ...]
     ) -> None:
         """Choose among the servers that ``known`` holds."""
         self._known = known
-        self._lanes = lanes
+        self._backends = backends
         self._bounds = bounds
         self._regions = dict(entry.split('=', 1) for entry in regions)
 
     def open(
         self, request: ForwardRequest, service: str, exclude: frozenset[str], now_unix_s: float
-    ) -> list[Lane]:
+    ) -> list[Backend]:
         """Return the servers that may be used: those heard of late, or else all that want requests.
 
         A server that does not want any has said so; one that fell silent may be back.
         """
         servers = self._at_home(request, self._known.of_service(service))
-        lanes = [self._lanes.of(one) for one in servers if one.lifetime not in exclude]
-        lanes = [lane for lane in lanes if lane.wanted(now_unix_s)]
-        lanes = [lane for lane in lanes if lane.silent_until_unix_s <= now_unix_s] or lanes
-        return [lane for lane in lanes if self._bounds.takes(lane, now_unix_s)]
+        backends = [self._backends.of(one) for one in servers if one.lifetime not in exclude]
+        backends = [backend for backend in backends if backend.wanted(now_unix_s)]
+        backends = [
+            backend for backend in backends if backend.silent_until_unix_s <= now_unix_s
+        ] or backends
+        return [backend for backend in backends if self._bounds.takes(backend, now_unix_s)]
 
     def why_none(self, request: ForwardRequest, service: str, now_unix_s: float) -> NoServer:
         """Return why no server is open, and when the first of them may be sent requests again.
@@ -58,7 +60,7 @@
         servers = self._at_home(request, self._known.of_service(service))
         if evacuated_too and not servers:
             return NoServer('all servers of the service are in evacuated data centres', EVACUATED_S)
-        free_unix_s = [self._free_unix_s(self._lanes.of(one), now_unix_s) for one in servers]
+        free_unix_s = [self._free_unix_s(self._backends.of(one), now_unix_s) for one in servers]
         wait_s = min(free_unix_s, default=now_unix_s) - now_unix_s
         if wait_s <= 0:
             return NoServer('no server of the service can be reached')
@@ -75,6 +77,6 @@
             return servers
         return tuple(one for one in servers if self._regions.get(one.data_centre) in homes)
 
-    def _free_unix_s(self, lane: Lane, now_unix_s: float) -> float:
+    def _free_unix_s(self, backend: Backend, now_unix_s: float) -> float:
         """Return when a server may be sent a request of this router, as far as is known."""
-        return max(lane.unwanted_until_unix_s, self._bounds.free_unix_s(lane, now_unix_s))
+        return max(backend.unwanted_until_unix_s, self._bounds.free_unix_s(backend, now_unix_s))
--- a/packages/fleet/src/endivesaddle/fleet/routing/choosing.py
+++ b/packages/fleet/src/endivesaddle/fleet/routing/choosing.py
@@ -2,7 +2,7 @@
 
 from typing import Protocol
 
-from endivesaddle.fleet.routing.lanes import Lane
+from endivesaddle.fleet.routing.backends import Backend
 from endivesaddle.fleet.routing.placing import PlacingPolicy, Setting, tolerated_tokens
 
 ASKS = 3
@@ -16,13 +16,13 @@
 class Desks(Protocol):
     """The sidecars beside engines, as a router reaches them."""
 
-    async def ask(self, lane: Lane, tokens: int, most_tokens: int) -> bool:
+    async def ask(self, backend: Backend, tokens: int, most_tokens: int) -> bool:
         """Ask for a place for a prompt, and learn what the other routers have there.
 
         True where the prompt may go there, also where nobody could be asked.
         """
 
-    def changed(self, lane: Lane, soon: bool) -> None:
+    def changed(self, backend: Backend, soon: bool) -> None:
         """Tell the sidecar beside an engine what is under way there now, ``soon`` or with the next
         word."""
 
@@ -30,26 +30,26 @@
 class NoDesks:
     """No sidecar stands beside any engine."""
 
-    async def ask(self, lane: Lane, tokens: int, most_tokens: int) -> bool:
+    async def ask(self, backend: Backend, tokens: int, most_tokens: int) -> bool:
         """Take up any prompt."""
         return True
 
-    def changed(self, lane: Lane, soon: bool) -> None:
+    def changed(self, backend: Backend, soon: bool) -> None:
         """Tell nobody."""
 
 
-async def choose(setting: Setting, policy: PlacingPolicy, desks: Desks) -> Lane:
+async def choose(setting: Setting, policy: PlacingPolicy, desks: Desks) -> Backend:
     """Return the lane for a prompt.
 
     What a sidecar says changes its lane, so that the policy decides anew with the truth about
     the engines that it had preferred.
     """
     for asks_left in reversed(range(ASKS)):
-        lane = policy(setting)
-        unread = lane.unread(setting.want, setting.now_unix_s)
+        backend = policy(setting)
+        unread = backend.unread(setting.want, setting.now_unix_s)
         if unread < ASKED_TOKENS:
             break
-        most_tokens = tolerated_tokens(setting, lane) if asks_left else ANY_TOKENS
-        if await desks.ask(lane, unread, most_tokens):
+        most_tokens = tolerated_tokens(setting, backend) if asks_left else ANY_TOKENS
+        if await desks.ask(backend, unread, most_tokens):
             break
-    return lane
+    return backend
--- a/packages/fleet/src/endivesaddle/fleet/routing/cold_starts.py
+++ b/packages/fleet/src/endivesaddle/fleet/routing/cold_starts.py
@@ -11,7 +11,7 @@
 from endivesaddle.fleet.registry import Registry
 from endivesaddle.fleet.routes.declared import Service
 from endivesaddle.fleet.routes.known import Known
-from endivesaddle.fleet.routing.lanes import Lane
+from endivesaddle.fleet.routing.backends import Backend
 from endivesaddle.fleet.routing.rendezvous import weight
 
 ENTERED_S = 0.3
@@ -80,51 +80,51 @@
         self._policy = cold_policies.find(policy)
         self._known = known
 
-    def cold_until_unix_s(self, lane: Lane, now_unix_s: float) -> float:
+    def cold_until_unix_s(self, backend: Backend, now_unix_s: float) -> float:
         """Return until when a server is cold, or may be; 0 where it is not."""
-        service = self._service(lane)
+        service = self._service(backend)
         if service is None or not service.cold_per_s:
             return 0.0
         until_unix_s = max(
-            self._known.cold_until_unix_s(lane.server),
-            lane.cold_until_unix_s(service.cold_s, now_unix_s),
+            self._known.cold_until_unix_s(backend.server),
+            backend.cold_until_unix_s(service.cold_s, now_unix_s),
         )
         return until_unix_s if until_unix_s > now_unix_s else 0.0
 
-    def takes(self, lane: Lane, now_unix_s: float) -> bool:
+    def takes(self, backend: Backend, now_unix_s: float) -> bool:
         """Tell whether a server may be sent a request of this router now."""
-        if not self.cold_until_unix_s(lane, now_unix_s):
+        if not self.cold_until_unix_s(backend, now_unix_s):
             return True
-        return lane.sent_lately(now_unix_s) < self._allowed(lane, now_unix_s)
+        return backend.sent_lately(now_unix_s) < self._allowed(backend, now_unix_s)
 
-    def enter(self, lane: Lane, now_unix_s: float) -> bool:
+    def enter(self, backend: Backend, now_unix_s: float) -> bool:
         """Count a request for a server, or tell False where a cold one bears no more."""
-        if not self.takes(lane, now_unix_s):
+        if not self.takes(backend, now_unix_s):
             return False
-        lane.count_sending(now_unix_s)
+        backend.count_sending(now_unix_s)
         return True
 
-    def sends(self, lane: Lane, entered_unix_s: float, now_unix_s: float) -> bool:
+    def sends(self, backend: Backend, entered_unix_s: float, now_unix_s: float) -> bool:
         """Tell right before it is sent whether a request that was let in may still go."""
         if now_unix_s - entered_unix_s <= ENTERED_S:
             return True
-        return self.enter(lane, now_unix_s)
+        return self.enter(backend, now_unix_s)
 
-    def free_unix_s(self, lane: Lane, now_unix_s: float) -> float:
+    def free_unix_s(self, backend: Backend, now_unix_s: float) -> float:
         """Return when a cold server may be sent the next request of this router."""
-        until_unix_s = self.cold_until_unix_s(lane, now_unix_s)
-        if self._allowed(lane, now_unix_s):
-            until_unix_s = min(until_unix_s, lane.sending_free_unix_s(now_unix_s))
+        until_unix_s = self.cold_until_unix_s(backend, now_unix_s)
+        if self._allowed(backend, now_unix_s):
+            until_unix_s = min(until_unix_s, backend.sending_free_unix_s(now_unix_s))
         return until_unix_s
 
-    def _allowed(self, lane: Lane, now_unix_s: float) -> int:
-        service = self._service(lane)
+    def _allowed(self, backend: Backend, now_unix_s: float) -> int:
+        service = self._service(backend)
         per_s = service.cold_per_s if service else 0.0
-        name = lane.server.lifetime
+        name = backend.server.lifetime
         return self._policy(
             ColdSetting(name, per_s, self.own, self.routers, self.settled, now_unix_s)
         )
 
-    def _service(self, lane: Lane) -> Service | None:
+    def _service(self, backend: Backend) -> Service | None:
         book = self._known.book
-        return book.services.get(lane.server.service) if book else None
+        return book.services.get(backend.server.service) if book else None
--- a/packages/fleet/src/endivesaddle/fleet/routing/dispatcher.py
+++ b/packages/fleet/src/endivesaddle/fleet/routing/dispatcher.py
@@ -8,12 +8,12 @@
 from endivesaddle.fleet.routes.declared import Route
 from endivesaddle.fleet.routes.forwarded import ForwardRequest, ServerAnswer
 from endivesaddle.fleet.routes.known import Known
+from endivesaddle.fleet.routing.backends import Backend, Backends, ForwardWant, is_engine
 from endivesaddle.fleet.routing.candidates import Candidates
 from endivesaddle.fleet.routing.choosing import ASKED_TOKENS, Desks, NoDesks, choose
 from endivesaddle.fleet.routing.cold_starts import ColdStarts
 from endivesaddle.fleet.routing.crash_records import CrashRecords
 from endivesaddle.fleet.routing.forward_settings import ForwardSettings
-from endivesaddle.fleet.routing.lanes import ForwardWant, Lane, Lanes, is_engine
 from endivesaddle.fleet.routing.limit_shares import LimitShares
 from endivesaddle.fleet.routing.placing import PlacingPolicy, Setting, placing_policies
 from endivesaddle.fleet.routing.retry_share import RetryShare
@@ -37,24 +37,26 @@
 class Place:
     """A place for one request at one server; ``begin`` and ``end`` bound its use."""
 
-    def __init__(self, dispatcher: 'Dispatcher', lane: Lane, want: ForwardWant) -> None:
-        """Offer ``lane`` to ``want``."""
-        self.lane = lane
+    def __init__(self, dispatcher: 'Dispatcher', backend: Backend, want: ForwardWant) -> None:
+        """Offer ``backend`` to ``want``."""
+        self.backend = backend
         self._entered_unix_s = dispatcher.now_s()
-        self.unread_tokens = lane.unread(want, dispatcher.now_s())
+        self.unread_tokens = backend.unread(want, dispatcher.now_s())
         self._dispatcher = dispatcher
         self._want = want
 
     def admitted(self) -> bool:
         """Tell right before the request is sent whether it may still go there."""
         now_unix_s = self._dispatcher.now_s()
-        takes = self._dispatcher.takes(self.lane)
-        return takes and self._dispatcher.bounds.sends(self.lane, self._entered_unix_s, now_unix_s)
+        takes = self._dispatcher.takes(self.backend)
+        return takes and self._dispatcher.bounds.sends(
+            self.backend, self._entered_unix_s, now_unix_s
+        )
 
     def begin(self) -> None:
         """Note that the request is sent."""
-        self.lane.sent(self._want, self._dispatcher.now_s())
-        self._dispatcher.sent_parts.note(self.lane.server.lifetime, self._want)
+        self.backend.sent(self._want, self._dispatcher.now_s())
+        self._dispatcher.sent_parts.note(self.backend.server.lifetime, self._want)
         if self.unread_tokens >= LARGE_TOKENS:
             for listener in self._dispatcher.large_listeners:
                 listener()
@@ -65,22 +67,22 @@
         The sidecar beside the engine is told at the first one alone: a call for each event would
         cost more than passing the event on.
         """
-        if self._want.key not in self.lane.reading:
+        if self._want.key not in self.backend.reading:
             return
-        self.lane.began(self._want)
-        self._dispatcher.desks.changed(self.lane, soon=self.unread_tokens >= ASKED_TOKENS)
+        self.backend.began(self._want)
+        self._dispatcher.desks.changed(self.backend, soon=self.unread_tokens >= ASKED_TOKENS)
 
     def end(self, well: bool) -> None:
         """Note that nothing is under way there any more."""
-        read = self._want.key not in self.lane.reading
-        self.lane.ended(self._want)
+        read = self._want.key not in self.backend.reading
+        self.backend.ended(self._want)
         soon = not read and self.unread_tokens >= ASKED_TOKENS
-        self._dispatcher.desks.changed(self.lane, soon=soon)
-        self.lane.fared(well, self._dispatcher.now_s())
+        self._dispatcher.desks.changed(self.backend, soon=soon)
+        self.backend.fared(well, self._dispatcher.now_s())
 
     def silent(self, ended: bool) -> None:
         """Note that the server could not be reached, or that its process ``ended``."""
-        self.lane.silent(self._dispatcher.now_s(), ended)
+        self.backend.silent(self._dispatcher.now_s(), ended)
 
     def declined(self) -> None:
         """Note that the server had no room."""
@@ -91,11 +93,11 @@
         # Nobody knows when the answer of another request was begun.
         sent_unix_s = self._entered_unix_s if answer.own else 0.0
         heading = SignalHeader('', answer.status, sent_unix_s, self._dispatcher.now_s())
-        apply_signals(answer.signals, heading, self.lane, self._dispatcher.known)
+        apply_signals(answer.signals, heading, self.backend, self._dispatcher.known)
 
     def misdirected(self) -> None:
         """Note that the address belongs to another server now."""
-        self._dispatcher.known.withdrawn(self.lane.server.lifetime, 'misdirected')
+        self._dispatcher.known.withdrawn(self.backend.server.lifetime, 'misdirected')
 
 
 class Dispatcher:
@@ -104,7 +106,7 @@
     def __init__(self, settings: ForwardSettings, known: Known, clock: Clock, name: str) -> None:
         """Decide on what ``known`` holds; random choices are seeded by ``name``."""
         self.known = known
-        self.lanes = Lanes()
+        self.backends = Backends()
         self.sent_parts = SentParts()
         self.crashes = CrashRecords(settings)
         self.bounds = SendingBounds(
@@ -118,7 +120,7 @@
         self._settings = settings
         self._clock = clock
         self._random = Random(name)
-        self._candidates = Candidates(known, self.lanes, self.bounds, settings.regions)
+        self._candidates = Candidates(known, self.backends, self.bounds, settings.regions)
         self._shares: dict[str, RetryShare] = {}
         self._turn = 0
 
@@ -140,18 +142,18 @@
         want = request.want(service)
         if not exclude:
             self._share(service).request(self.now_s())
-        lanes = self._candidates.open(request, service, exclude, self.now_s())
-        if not lanes:
+        backends = self._candidates.open(request, service, exclude, self.now_s())
+        if not backends:
             return self._none(request, service)
         engine = is_engine(self.known.book.services.get(service) if self.known.book else None)
         name = self._settings.forward_policy if engine else 'least_busy'
         self._turn += 1
         self.counts['placed'] += 1
         setting = Setting(
-            want, lanes, self._settings.forward_data_centre, engine, self.now_s(), self._turn
+            want, backends, self._settings.forward_data_centre, engine, self.now_s(), self._turn
         )
-        lane = await self._enter(setting, placing_policies.find(name))
-        return Place(self, lane, want) if lane else self._none(request, service)
+        backend = await self._enter(setting, placing_policies.find(name))
+        return Place(self, backend, want) if backend else self._none(request, service)
 
     def held(self, request: ForwardRequest) -> Refusal | None:
         """Refuse a request that ended too many servers; None where it may run."""
@@ -174,9 +176,9 @@
         again_s = AGAIN_S * (1 + SPREAD * self._random.random())
         return Refusal('overloaded', reason, NOT_RUN, UNAVAILABLE, round(again_s, 2))
 
-    def takes(self, lane: Lane) -> bool:
+    def takes(self, backend: Backend) -> bool:
         """Tell whether a server may be sent a request now."""
-        return self.known.takes(lane.server) and lane.wanted(self.now_s())
+        return self.known.takes(backend.server) and backend.wanted(self.now_s())
 
     def may_repeat(self, request: ForwardRequest) -> bool:
         """Spend one repeat of the service's share."""
@@ -199,28 +201,28 @@
         """Return what is known of each server, for operators."""
         now_unix_s = self.now_s()
         return {
-            lane.server.lifetime: {
-                'own_in_flight': lane.own_in_flight,
-                'in_flight': lane.in_flight,
-                'reading_tokens': lane.reading_tokens,
-                'failed_share': round(lane.failed_share(now_unix_s), 3),
-                'cold_s': self._cold_s(lane),
+            backend.server.lifetime: {
+                'own_in_flight': backend.own_in_flight,
+                'in_flight': backend.in_flight,
+                'reading_tokens': backend.reading_tokens,
+                'failed_share': round(backend.failed_share(now_unix_s), 3),
+                'cold_s': self._cold_s(backend),
             }
-            for lane in self.lanes.all()
+            for backend in self.backends.all()
         }
 
-    async def _enter(self, setting: Setting, policy: PlacingPolicy) -> Lane | None:
+    async def _enter(self, setting: Setting, policy: PlacingPolicy) -> Backend | None:
         """Choose a server and count the request there, passing over those that bear no more."""
-        lanes = list(setting.lanes)
-        while lanes:
-            left = setting._replace(lanes=lanes)
-            if setting.engine and len(lanes) > 1:
-                lane = await choose(left, policy, self.desks)
+        backends = list(setting.backends)
+        while backends:
+            left = setting._replace(backends=backends)
+            if setting.engine and len(backends) > 1:
+                backend = await choose(left, policy, self.desks)
             else:
-                lane = policy(left)
-            if self.bounds.enter(lane, self.now_s()):
-                return lane
-            lanes.remove(lane)
+                backend = policy(left)
+            if self.bounds.enter(backend, self.now_s()):
+                return backend
+            backends.remove(backend)
         return None
 
     def _none(self, request: ForwardRequest, service: str) -> Refusal:
@@ -232,9 +234,11 @@
         again_s = max(found.wait_s, AGAIN_S) + AGAIN_S * SPREAD * self._random.random()
         return refusal._replace(retry_after_s=round(again_s, 2))
 
-    def _cold_s(self, lane: Lane) -> float:
+    def _cold_s(self, backend: Backend) -> float:
         now_unix_s = self.now_s()
-        return round(max(0.0, self.bounds.cold.cold_until_unix_s(lane, now_unix_s) - now_unix_s), 2)
+        return round(
+            max(0.0, self.bounds.cold.cold_until_unix_s(backend, now_unix_s) - now_unix_s), 2
+        )
 
     def _service(self, request: ForwardRequest) -> str:
         """Return the service of a request: the same whenever it is asked."""
--- a/packages/fleet/src/endivesaddle/fleet/routing/limit_shares.py
+++ b/packages/fleet/src/endivesaddle/fleet/routing/limit_shares.py
@@ -11,7 +11,7 @@
 
 from endivesaddle.fleet.registry import Registry
 from endivesaddle.fleet.routes.advertised_limits import MOST_LIVES, AdvertisedLimits
-from endivesaddle.fleet.routing.lanes import Lane
+from endivesaddle.fleet.routing.backends import Backend
 from endivesaddle.fleet.routing.rendezvous import weight
 
 WINDOW_S = 4.0
@@ -71,25 +71,25 @@
         self._ranks: dict[str, int] = {}
         self._ranked: tuple[str, Collection[str]] = ('', ())
 
-    def takes(self, lane: Lane, now_unix_s: float) -> bool:
+    def takes(self, backend: Backend, now_unix_s: float) -> bool:
         """Tell whether a server may be sent a request of this router now."""
-        return self.free_unix_s(lane, now_unix_s) <= now_unix_s
+        return self.free_unix_s(backend, now_unix_s) <= now_unix_s
 
-    def count(self, lane: Lane, now_unix_s: float) -> None:
+    def count(self, backend: Backend, now_unix_s: float) -> None:
         """Count a request that goes there now."""
-        life = lane.server.life
+        life = backend.server.life
         if self._named and self._named.per_s(life, now_unix_s):
             self._sent_unix_s[life] = now_unix_s
             if len(self._sent_unix_s) > MOST_LIVES:
                 del self._sent_unix_s[next(iter(self._sent_unix_s))]
 
-    def free_unix_s(self, lane: Lane, now_unix_s: float) -> float:
+    def free_unix_s(self, backend: Backend, now_unix_s: float) -> float:
         """Return when a server may be sent the next request of this router, 0 for at any time.
 
         A router without a share names the time after which the server takes the next request of
         any router: callers that come back then may meet one that has a share.
         """
-        life = lane.server.life
+        life = backend.server.life
         per_s = self._named.per_s(life, now_unix_s) if self._named else 0.0
         if not per_s:
             return 0.0
--- a/packages/fleet/src/endivesaddle/fleet/routing/placing.py
+++ b/packages/fleet/src/endivesaddle/fleet/routing/placing.py
@@ -4,7 +4,7 @@
 from typing import NamedTuple
 
 from endivesaddle.fleet.registry import Registry
-from endivesaddle.fleet.routing.lanes import ForwardWant, Lane
+from endivesaddle.fleet.routing.backends import Backend, ForwardWant
 from endivesaddle.fleet.routing.rendezvous import weight
 
 PREFILL_TOKENS_PER_MS = 120.0
@@ -27,38 +27,38 @@
     """What a policy decides on: lanes that may be chosen, and the time."""
 
     want: ForwardWant
-    lanes: Sequence[Lane]
+    backends: Sequence[Backend]
     data_centre: str
     engine: bool
     now_unix_s: float
     turn: int
 
 
-PlacingPolicy = Callable[[Setting], Lane]
+PlacingPolicy = Callable[[Setting], Backend]
 
 placing_policies: Registry[PlacingPolicy] = Registry('placing policy')
 
 
 @placing_policies.add('round_robin')
-def round_robin(setting: Setting) -> Lane:
+def round_robin(setting: Setting) -> Backend:
     """Take the servers in turn, as a baseline."""
-    return setting.lanes[setting.turn % len(setting.lanes)]
+    return setting.backends[setting.turn % len(setting.backends)]
 
 
 @placing_policies.add('least_outstanding')
-def least_outstanding(setting: Setting) -> Lane:
+def least_outstanding(setting: Setting) -> Backend:
     """Take the server with the fewest requests, as a baseline."""
-    return min(setting.lanes, key=lambda lane: lane.in_flight)
+    return min(setting.backends, key=lambda backend: backend.in_flight)
 
 
 @placing_policies.add('prefix_hash')
-def prefix_hash(setting: Setting) -> Lane:
+def prefix_hash(setting: Setting) -> Backend:
     """Take the home of the last shared part, whatever its load, as a baseline."""
-    return home(setting.want.shared_part or setting.want.key, setting.lanes)
+    return home(setting.want.shared_part or setting.want.key, setting.backends)
 
 
 @placing_policies.add('earliest_first_event')
-def earliest_first_event(setting: Setting) -> Lane:
+def earliest_first_event(setting: Setting) -> Backend:
     """Take the server whose first event is expected first.
 
     Load pattern: parts of prompts shared by many requests, of which each router
@@ -67,50 +67,54 @@
     and a server that is behind by more than the reading saved is passed over.
     """
     shared = setting.want.shared_part
-    homeless = shared and not any(lane.holds(shared, setting.now_unix_s) for lane in setting.lanes)
-    at_home = home(shared, setting.lanes) if homeless else None
-    return min(setting.lanes, key=lambda lane: _expected_ms(setting, lane, lane is at_home))
+    homeless = shared and not any(
+        backend.holds(shared, setting.now_unix_s) for backend in setting.backends
+    )
+    at_home = home(shared, setting.backends) if homeless else None
+    return min(
+        setting.backends, key=lambda backend: _expected_ms(setting, backend, backend is at_home)
+    )
 
 
-def home(part: str, lanes: Sequence[Lane]) -> Lane:
+def home(part: str, backends: Sequence[Backend]) -> Backend:
     """Return the lane on which all routers agree for a part (highest random weight)."""
-    return max(lanes, key=lambda lane: weight(part, lane.server.lifetime))
+    return max(backends, key=lambda backend: weight(part, backend.server.lifetime))
 
 
-def _expected_ms(setting: Setting, lane: Lane, at_home: bool) -> float:
+def _expected_ms(setting: Setting, backend: Backend, at_home: bool) -> float:
     want = setting.want
-    unread = lane.unread(want, setting.now_unix_s)
+    unread = backend.unread(want, setting.now_unix_s)
     if at_home and want.parts:
         shared_tokens = want.prompt_tokens - want.parts[-1][1]
         unread -= int(HOME_TRUST * max(0, shared_tokens))
-    wait_ms = (lane.reading_tokens + unread) / PREFILL_TOKENS_PER_MS
-    wait_ms += REQUEST_MS * lane.in_flight
-    far_ms = 0.0 if lane.server.data_centre == setting.data_centre else FAR_MS
-    return wait_ms + far_ms + FAILURE_MS * lane.failed_share(setting.now_unix_s)
+    wait_ms = (backend.reading_tokens + unread) / PREFILL_TOKENS_PER_MS
+    wait_ms += REQUEST_MS * backend.in_flight
+    far_ms = 0.0 if backend.server.data_centre == setting.data_centre else FAR_MS
+    return wait_ms + far_ms + FAILURE_MS * backend.failed_share(setting.now_unix_s)
 
 
-def tolerated_tokens(setting: Setting, lane: Lane) -> int:
+def tolerated_tokens(setting: Setting, backend: Backend) -> int:
     """Return how many tokens others may have to read at a lane before another one is better."""
-    others = [one for one in setting.lanes if one is not lane]
+    others = [one for one in setting.backends if one is not backend]
     if not others:
-        return lane.elsewhere_reading
+        return backend.elsewhere_reading
     best_ms = min(_expected_ms(setting, one, at_home=False) for one in others)
-    more_ms = best_ms + HOP_MS - _expected_ms(setting, lane, at_home=False)
-    return max(0, lane.elsewhere_reading + int(more_ms * PREFILL_TOKENS_PER_MS))
+    more_ms = best_ms + HOP_MS - _expected_ms(setting, backend, at_home=False)
+    return max(0, backend.elsewhere_reading + int(more_ms * PREFILL_TOKENS_PER_MS))
 
 
 @placing_policies.add('least_busy')
-def least_busy(setting: Setting) -> Lane:
+def least_busy(setting: Setting) -> Backend:
     """Take the plain server with the most free slots for its size, well ones before failing ones.
 
     Load pattern: few servers with few slots, one of which fails a part of its
     requests while its health check is good.
     """
-    return min(setting.lanes, key=lambda lane: _busy(setting, lane))
+    return min(setting.backends, key=lambda backend: _busy(setting, backend))
 
 
-def _busy(setting: Setting, lane: Lane) -> tuple[float, bool, bytes]:
-    busy = (lane.in_flight + 1) / max(1, lane.server.slots)
-    failing = lane.failed_share(setting.now_unix_s)
-    far = lane.server.data_centre != setting.data_centre
-    return busy + 2 * failing, far, weight(setting.want.key, lane.server.lifetime)
+def _busy(setting: Setting, backend: Backend) -> tuple[float, bool, bytes]:
+    busy = (backend.in_flight + 1) / max(1, backend.server.slots)
+    failing = backend.failed_share(setting.now_unix_s)
+    far = backend.server.data_centre != setting.data_centre
+    return busy + 2 * failing, far, weight(setting.want.key, backend.server.lifetime)
--- a/packages/fleet/src/endivesaddle/fleet/routing/sending_bounds.py
+++ b/packages/fleet/src/endivesaddle/fleet/routing/sending_bounds.py
@@ -2,8 +2,8 @@
 
 from collections.abc import Collection
 
+from endivesaddle.fleet.routing.backends import Backend
 from endivesaddle.fleet.routing.cold_starts import ColdStarts
-from endivesaddle.fleet.routing.lanes import Lane
 from endivesaddle.fleet.routing.limit_shares import LimitShares
 
 
@@ -26,29 +26,29 @@
             shared.routers = routers
             shared.settled = settled
 
-    def takes(self, lane: Lane, now_unix_s: float) -> bool:
+    def takes(self, backend: Backend, now_unix_s: float) -> bool:
         """Tell whether a server may be sent a request of this router now; else count that."""
         for bound in (self.limits, self.cold):
-            if not bound.takes(lane, now_unix_s):
+            if not bound.takes(backend, now_unix_s):
                 bound.withheld_count += 1
                 return False
         return True
 
-    def enter(self, lane: Lane, now_unix_s: float) -> bool:
+    def enter(self, backend: Backend, now_unix_s: float) -> bool:
         """Count a request for a server, or tell False where it bears no more."""
-        if not self.limits.takes(lane, now_unix_s) or not self.cold.enter(lane, now_unix_s):
+        if not self.limits.takes(backend, now_unix_s) or not self.cold.enter(backend, now_unix_s):
             return False
-        self.limits.count(lane, now_unix_s)
+        self.limits.count(backend, now_unix_s)
         return True
 
-    def sends(self, lane: Lane, entered_unix_s: float, now_unix_s: float) -> bool:
+    def sends(self, backend: Backend, entered_unix_s: float, now_unix_s: float) -> bool:
         """Tell right before it is sent whether a request that was let in may still go."""
-        if not self.cold.sends(lane, entered_unix_s, now_unix_s):
+        if not self.cold.sends(backend, entered_unix_s, now_unix_s):
             return False
-        self.limits.count(lane, now_unix_s)
+        self.limits.count(backend, now_unix_s)
         return True
 
-    def free_unix_s(self, lane: Lane, now_unix_s: float) -> float:
+    def free_unix_s(self, backend: Backend, now_unix_s: float) -> float:
         """Return when a server may be sent the next request of this router."""
-        cold_unix_s = self.cold.free_unix_s(lane, now_unix_s)
-        return max(cold_unix_s, self.limits.free_unix_s(lane, now_unix_s))
+        cold_unix_s = self.cold.free_unix_s(backend, now_unix_s)
+        return max(cold_unix_s, self.limits.free_unix_s(backend, now_unix_s))
--- a/packages/fleet/src/endivesaddle/fleet/routing/sent_parts.py
+++ b/packages/fleet/src/endivesaddle/fleet/routing/sent_parts.py
@@ -8,7 +8,7 @@
 from collections.abc import Sequence
 from typing import NamedTuple
 
-from endivesaddle.fleet.routing.lanes import ForwardWant
+from endivesaddle.fleet.routing.backends import ForwardWant
 
 MOST_TOLD = 48
 """Parts in one word to another router: what five routers send at 100 requests a second.
