--- a/features/steps/server_signals_steps.py
+++ b/features/steps/server_signals_steps.py
@@ -89,17 +89,17 @@
 
 @then('the adapter leaves "{header}" to callers')
 def passed(context: Any, header: str) -> None:
-    """Look at its dialect."""
-    assert header in module('headers').DIALECT.passed
+    """Check the header names of the adapter."""
+    assert header in module('headers').HEADER_NAMES.passed
 
 
 @then('each signal has a header in the adapter, known as read and dropped where a caller sends it')
 def all_named(context: Any) -> None:
-    """Compare the registry with the adapter's dialect."""
-    dialect = module('headers').DIALECT
-    assert set(dialect.signals) == set(server_signals)
-    assert set(dialect.signals.values()) <= dialect.reserved
-    assert set(dialect.signals.values()) <= set(dialect.read_of_answers)
+    """Compare the registry with the adapter's header names."""
+    header_names = module('headers').HEADER_NAMES
+    assert set(header_names.signals) == set(server_signals)
+    assert set(header_names.signals.values()) <= header_names.reserved
+    assert set(header_names.signals.values()) <= set(header_names.read_from_responses)
 
 
 def _say(context: Any, server: int, headers: str) -> None:
--- a/features/steps/users_platform_steps.py
+++ b/features/steps/users_platform_steps.py
@@ -145,18 +145,18 @@
 
 @then('a worker says "{leaving}" and "{again}", and no client says the first for it')
 def worker_headers(context: Any, leaving: str, again: str) -> None:
-    """Compare the names of the dialect."""
-    dialect = users_platform.dialect()
-    assert (dialect.leaving, dialect.retry_after) == (leaving, again)
-    assert leaving in dialect.reserved
+    """Compare the header names of the platform."""
+    header_names = users_platform.header_names()
+    assert (header_names.leaving, header_names.retry_after) == (leaving, again)
+    assert leaving in header_names.reserved
 
 
 @then('these are the names of its other headers')
 def other_headers(context: Any) -> None:
-    """Compare them with the dialect."""
-    dialect = users_platform.dialect()
+    """Compare them with the header names of the adapter."""
+    header_names = users_platform.header_names()
     for row in context.table:
-        assert getattr(dialect, row['for']) == row['header'], row
+        assert getattr(header_names, row['for']) == row['header'], row
 
 
 @then('a list that may be seconds old is asked for with "{word}"')
--- a/features/subjects/adapter_names.py
+++ b/features/subjects/adapter_names.py
@@ -51,7 +51,7 @@
     """Yield what is read by name, and the values of the table of headers."""
     if isinstance(call.func, ast.Attribute) and call.func.attr in READS:
         yield from _texts(call.args[:1])
-    elif isinstance(call.func, ast.Name) and call.func.id == 'Dialect':
+    elif isinstance(call.func, ast.Name) and call.func.id == 'HeaderNames':
         yield from _texts([keyword.value for keyword in call.keywords])
 
 
--- a/features/subjects/evacuated_fleet.py
+++ b/features/subjects/evacuated_fleet.py
@@ -10,7 +10,7 @@
 from endivesaddle.backend_servers.kept_links import KeptLinks
 from endivesaddle.backend_servers.server_connection import ServerConnection
 from endivesaddle.fleet.clock import LoopClock
-from endivesaddle.fleet.routes.dialect import Dialect
+from endivesaddle.fleet.routes.header_names import HeaderNames
 from endivesaddle.fleet.routes.running import Runner
 from endivesaddle.fleet.seams import ServerRefused
 from subjects.cut_router import CutRouter
@@ -125,7 +125,7 @@
         name = f'router-{number}-{self._life}'
         router = CutRouter(name, f'10.0.0.{number}:1', self._net, self._store, self._decoder)
         router.start(ACCOUNT)
-        links = ForwardLinks(KeptLinks(self._connect), Dialect(), self._clock)
+        links = ForwardLinks(KeptLinks(self._connect), HeaderNames(), self._clock)
         self._routers.append(router)
         self._runners.append(Runner(router.dispatcher, router.wallet, links, self._clock))
 
--- a/features/subjects/saying_servers.py
+++ b/features/subjects/saying_servers.py
@@ -10,8 +10,8 @@
 from endivesaddle.backend_servers.kept_links import KeptLinks
 from endivesaddle.backend_servers.server_connection import ServerConnection
 from endivesaddle.fleet.routes.declared import Repeat, Route, RouteAccount, RouteServer, Target
-from endivesaddle.fleet.routes.dialect import Dialect
 from endivesaddle.fleet.routes.forwarded import ForwardRequest
+from endivesaddle.fleet.routes.header_names import HeaderNames
 from endivesaddle.fleet.routes.running import Runner
 from subjects.cut_router import CutRouter
 from subjects.forward_runs import RecordingSink
@@ -146,7 +146,7 @@
         name = f'router-{number}'
         router = CutRouter(name, f'10.0.0.{number}:1', self._net, self._store, Entries())
         router.start(ACCOUNT)
-        links = ForwardLinks(KeptLinks(self._connect), Dialect(), self._clock)
+        links = ForwardLinks(KeptLinks(self._connect), HeaderNames(), self._clock)
         self._routers.append(router)
         self._runners.append(Runner(router.dispatcher, router.wallet, links, self._clock))
 
--- a/features/subjects/server_connections.py
+++ b/features/subjects/server_connections.py
@@ -12,8 +12,8 @@
 from endivesaddle.backend_servers.kept_links import KeptLinks
 from endivesaddle.fleet.clock import SteadyClock
 from endivesaddle.fleet.routes.declared import Repeat, Route, RouteAccount, RouteServer, Target
-from endivesaddle.fleet.routes.dialect import Dialect
 from endivesaddle.fleet.routes.forwarded import ForwardRequest, ServerCall
+from endivesaddle.fleet.routes.header_names import HeaderNames
 from endivesaddle.fleet.seams import NeverSent, ServerLost, ServerRefused
 
 GUARD_S = 20
@@ -182,7 +182,7 @@
         anyio.run(self._play, self._given_up, SMALL)
 
     async def _look(self) -> None:
-        links = ForwardLinks(KeptLinks(), Dialect(), SteadyClock())
+        links = ForwardLinks(KeptLinks(), HeaderNames(), SteadyClock())
         server = await asyncio.start_server(self._serve, '127.0.0.1', 0)
         host, port = server.sockets[0].getsockname()
         address = f'{host}:{port}'
@@ -203,7 +203,7 @@
             server.close()
 
     async def _each(self, address: str, body: bytes) -> None:
-        links = ForwardLinks(KeptLinks(), Dialect(), SteadyClock())
+        links = ForwardLinks(KeptLinks(), HeaderNames(), SteadyClock())
         for number, _ in enumerate(self._scripts):
             self.outcomes.append(await self._sent(links, _call(number, address, body)))
             while len(self.bodies) < len(self.heads):
@@ -212,7 +212,7 @@
         self.opened_count = links.links.opened_count
 
     async def _given_up(self, address: str, body: bytes) -> None:
-        links = ForwardLinks(KeptLinks(), Dialect(), SteadyClock())
+        links = ForwardLinks(KeptLinks(), HeaderNames(), SteadyClock())
         async with anyio.create_task_group() as group:
             group.start_soon(self._sent, links, _call(0, address, body))
             while not self.bodies:
--- a/features/subjects/slow_connections.py
+++ b/features/subjects/slow_connections.py
@@ -8,7 +8,7 @@
 from endivesaddle.backend_servers.kept_links import KeptLinks
 from endivesaddle.backend_servers.server_connection import ServerConnection
 from endivesaddle.fleet.clock import LoopClock
-from endivesaddle.fleet.routes.dialect import Dialect
+from endivesaddle.fleet.routes.header_names import HeaderNames
 from endivesaddle.fleet.routes.running import Runner
 from subjects.forward_runs import ForwardRuns
 
@@ -65,7 +65,7 @@
         self.network = SlowNetwork(connect_s)
         self.runs = ForwardRuns('unsafe', 1, [])
         clock = LoopClock()
-        links = ForwardLinks(KeptLinks(self.network.connect), Dialect(), clock)
+        links = ForwardLinks(KeptLinks(self.network.connect), HeaderNames(), clock)
         dispatcher = self.runs.runner.parts.dispatcher
         self.runs.runner = Runner(dispatcher, self.runs.wallet, links, clock)
         self.left = ''
--- a/features/subjects/users_platform.py
+++ b/features/subjects/users_platform.py
@@ -16,8 +16,8 @@
 from endivesaddle.fleet.clock import LoopClock
 from endivesaddle.fleet.errors import FleetError, UserError
 from endivesaddle.fleet.routes.declared import Repeat, RouteServer
-from endivesaddle.fleet.routes.dialect import Dialect
 from endivesaddle.fleet.routes.following import Follower
+from endivesaddle.fleet.routes.header_names import HeaderNames
 from endivesaddle.fleet.routes.known import Contact, Known
 from endivesaddle.stand_ins.etcd_transport import AsgiTransport
 from endivesaddle.stand_ins.memory_store import MemoryStore
@@ -190,9 +190,9 @@
         self.memory.fail(down)
 
 
-def dialect() -> Dialect:
+def header_names() -> HeaderNames:
     """Return the platform's names of headers."""
-    names: Dialect = module('headers').DIALECT
+    names: HeaderNames = module('headers').HEADER_NAMES
     return names
 
 
--- a/packages/backend_servers/src/endivesaddle/backend_servers/forward_calls.py
+++ b/packages/backend_servers/src/endivesaddle/backend_servers/forward_calls.py
@@ -9,8 +9,8 @@
 from endivesaddle.backend_servers.unread_headers import UnreadHeaders
 from endivesaddle.fleet.clock import Clock
 from endivesaddle.fleet.routes.declared import RouteServer
-from endivesaddle.fleet.routes.dialect import HOP_BY_HOP, LENGTH, Dialect
 from endivesaddle.fleet.routes.forwarded import Pairs, ServerCall
+from endivesaddle.fleet.routes.header_names import HOP_BY_HOP, LENGTH, HeaderNames
 from endivesaddle.fleet.seams import ServerLost
 
 EVENT_BYTES = 1 << 20
@@ -23,9 +23,11 @@
 
 
 class KeptAnswer:
-    """A server's answer, read by the names of one dialect."""
+    """A server's answer, with the header names of one platform."""
 
-    def __init__(self, response: ServerResponse, call: ServerCall, dialect: Dialect) -> None:
+    def __init__(
+        self, response: ServerResponse, call: ServerCall, header_names: HeaderNames
+    ) -> None:
         """Take a response whose body is unread."""
         pairs = [
             (name.decode('latin-1').lower(), value.decode('latin-1'))
@@ -36,15 +38,15 @@
         self.headers: Pairs = tuple(
             pair for pair in pairs if pair[0] not in HOP_BY_HOP and pair[0] != LENGTH
         )
-        self.declined = dialect.declined in named
+        self.declined = header_names.declined in named
         self.signals: Mapping[str, str] = {
-            name: named[header] for name, header in dialect.signals.items() if header in named
+            name: named[header] for name, header in header_names.signals.items() if header in named
         }
         self.misdirected = response.status == MISDIRECTED
-        echoed = named.get(dialect.request_id, '')
+        echoed = named.get(header_names.request_id, '')
         # A body that was encoded on the way is not the server's: no caller asked for it.
         self.own = echoed == call.request.request_id and ENCODING not in named
-        self.sealed = dialect.seal in named
+        self.sealed = header_names.seal in named
         self._response = response
 
     async def events(self) -> AsyncIterator[bytes]:
@@ -67,11 +69,11 @@
 class ForwardLinks:
     """Sends calls over kept connections."""
 
-    def __init__(self, links: KeptLinks, dialect: Dialect, clock: Clock) -> None:
-        """Use ``dialect`` for the names of headers."""
+    def __init__(self, links: KeptLinks, header_names: HeaderNames, clock: Clock) -> None:
+        """Use ``header_names`` for the names of headers."""
         self.links = links
-        self.unread = UnreadHeaders(dialect)
-        self._dialect = dialect
+        self.unread = UnreadHeaders(header_names)
+        self._header_names = header_names
         self._clock = clock
 
     @asynccontextmanager
@@ -86,7 +88,7 @@
         sent = Forwarded(request.method, request.target, headers, request.body, call.admitted)
         server = call.server
         async with self.links.exchange(server.lifetime, server.address, sent) as response:
-            answer = KeptAnswer(response, call, self._dialect)
+            answer = KeptAnswer(response, call, self._header_names)
             self.unread.look(server.lifetime, answer.headers)
             yield answer
 
@@ -98,7 +100,7 @@
         await self.links.check(server.lifetime, server.address)
 
     def _headers(self, call: ServerCall) -> list[tuple[bytes, bytes]]:
-        names = self._dialect
+        names = self._header_names
         request = call.request
         left_ms = max(1, int((call.end_unix_s - self._clock.now_s()) * _MS))
         own = [
--- a/packages/backend_servers/src/endivesaddle/backend_servers/unread_headers.py
+++ b/packages/backend_servers/src/endivesaddle/backend_servers/unread_headers.py
@@ -4,8 +4,8 @@
 with the others, requests went on as before, and no line showed that anything had been told.
 """
 
-from endivesaddle.fleet.routes.dialect import GENERAL, HOP_BY_HOP, LENGTH, Dialect
 from endivesaddle.fleet.routes.forwarded import Pairs
+from endivesaddle.fleet.routes.header_names import GENERAL, HOP_BY_HOP, LENGTH, HeaderNames
 from endivesaddle.fleet.routing import forward_events as events
 
 MOST_NAMES = 64
@@ -19,12 +19,12 @@
 class UnreadHeaders:
     """The names that one router met and does not read, each logged once."""
 
-    def __init__(self, dialect: Dialect) -> None:
-        """Take the names of ``dialect`` as read, and general ones as understood by callers."""
+    def __init__(self, header_names: HeaderNames) -> None:
+        """Take the names of ``header_names`` as read, and general ones as understood by callers."""
         self.names: set[str] = set()
         self._understood = {
-            *dialect.read_of_answers,
-            *dialect.passed,
+            *header_names.read_from_responses,
+            *header_names.passed,
             *GENERAL,
             *HOP_BY_HOP,
             LENGTH,
--- a/packages/callers/src/endivesaddle/callers/forward_app.py
+++ b/packages/callers/src/endivesaddle/callers/forward_app.py
@@ -15,8 +15,8 @@
 from endivesaddle.fleet.clock import Clock
 from endivesaddle.fleet.routes import run_events
 from endivesaddle.fleet.routes.book import RouteBook
-from endivesaddle.fleet.routes.dialect import LENGTH, Dialect
 from endivesaddle.fleet.routes.forwarded import ForwardRequest, Pairs
+from endivesaddle.fleet.routes.header_names import LENGTH, HeaderNames
 from endivesaddle.fleet.routes.known import Known
 from endivesaddle.fleet.routes.running import Runner
 from endivesaddle.fleet.sentinels import NOT_RUN, Refusal
@@ -65,9 +65,9 @@
 
     def __init__(self, exchange: Exchange, parts: 'ForwardParts') -> None:
         """Answer to ``exchange``; answers of the router's own name the request."""
-        request_id = exchange.headers.get(parts.dialect.request_id, '')
+        request_id = exchange.headers.get(parts.header_names.request_id, '')
         self._exchange = exchange
-        self._own = ((parts.dialect.request_id, request_id),) if request_id else ()
+        self._own = ((parts.header_names.request_id, request_id),) if request_id else ()
         self._parts = parts
         self._extra: Pairs = (CLOSE,) if parts.stopping.leaving else ()
         self.kind = 'none'
@@ -97,7 +97,7 @@
         self._count(refusal.status, refusal.code)
         headers = [('content-type', JSON), *self._own, *self._extra]
         if refusal.retry_after_s:
-            headers.append((self._parts.dialect.retry_after, str(refusal.retry_after_s)))
+            headers.append((self._parts.header_names.retry_after, str(refusal.retry_after_s)))
         await self._exchange.reply(refusal.status, error_body(refusal), headers)
 
     def _count(self, status: int, code: str) -> None:
@@ -109,7 +109,7 @@
     """What the application works with."""
 
     settings: CallersSettings
-    dialect: Dialect
+    header_names: HeaderNames
     known: Known
     runner: Runner
     clock: Clock
@@ -139,7 +139,7 @@
         try:
             await self._serve(exchange)
         except CallerGone:
-            run_events.GONE.log(request_id=exchange.headers.get(parts.dialect.request_id, ''))
+            run_events.GONE.log(request_id=exchange.headers.get(parts.header_names.request_id, ''))
         finally:
             self.open_count -= 1
 
@@ -149,7 +149,7 @@
         request = await self._read(exchange)
         if isinstance(request, Refusal):
             run_events.REFUSED.log(
-                request_id=exchange.headers.get(parts.dialect.request_id, ''),
+                request_id=exchange.headers.get(parts.header_names.request_id, ''),
                 code=request.code,
                 reason=request.reason,
             )
@@ -187,7 +187,7 @@
         body = await exchange.body(book.declared.limits.body_bytes)
         if isinstance(body, Invalid):
             return body
-        return read_request(exchange, head, body, self._parts.dialect)
+        return read_request(exchange, head, body, self._parts.header_names)
 
 
 class ReadyApp:
--- a/packages/callers/src/endivesaddle/callers/forward_requests.py
+++ b/packages/callers/src/endivesaddle/callers/forward_requests.py
@@ -7,8 +7,8 @@
 from endivesaddle.callers.refusals import Invalid
 from endivesaddle.fleet.routes.book import RouteBook
 from endivesaddle.fleet.routes.declared import Route, RouteAccount
-from endivesaddle.fleet.routes.dialect import HOP_BY_HOP, LENGTH, Dialect
 from endivesaddle.fleet.routes.forwarded import ForwardRequest
+from endivesaddle.fleet.routes.header_names import HOP_BY_HOP, LENGTH, HeaderNames
 
 MOST_PARTS = 64
 """Parts of a prompt that are looked at; more would cost time and tell nothing."""
@@ -36,26 +36,26 @@
 
 
 def read_request(
-    exchange: Exchange, head: Head, body: bytes, dialect: Dialect
+    exchange: Exchange, head: Head, body: bytes, header_names: HeaderNames
 ) -> ForwardRequest | Invalid:
     """Read the rest of a request whose body is there."""
     names = exchange.headers
     try:
-        prompt_tokens, max_tokens = _tokens(names.get(dialect.tokens, ''))
-        parts = _parts(names.get(dialect.parts, ''))
-        deadline_ms = float(names.get(dialect.deadline_ms) or head.route.timeout_ms)
-        last_event = int(names.get(dialect.last_event) or -1)
+        prompt_tokens, max_tokens = _tokens(names.get(header_names.tokens, ''))
+        parts = _parts(names.get(header_names.parts, ''))
+        deadline_ms = float(names.get(header_names.deadline_ms) or head.route.timeout_ms)
+        last_event = int(names.get(header_names.last_event) or -1)
     except ValueError as error:
         return Invalid('invalid_header', f'a header could not be read: {error}')
     began_unix_s = exchange.began_unix_s
     deadline_unix_s = began_unix_s + deadline_ms / _MS
     return ForwardRequest(
-        request_id=names.get(dialect.request_id, ''),
+        request_id=names.get(header_names.request_id, ''),
         route=head.route,
         account=head.account,
         method=exchange.method,
         target=exchange.target,
-        headers=_passed_on(exchange, dialect),
+        headers=_passed_on(exchange, header_names),
         body=body,
         deadline_unix_s=deadline_unix_s,
         end_unix_s=min(deadline_unix_s, began_unix_s + head.route.timeout_ms / _MS),
@@ -67,10 +67,10 @@
     )
 
 
-def _passed_on(exchange: Exchange, dialect: Dialect) -> tuple[tuple[str, str], ...]:
+def _passed_on(exchange: Exchange, header_names: HeaderNames) -> tuple[tuple[str, str], ...]:
     named = exchange.headers.get('connection', '').lower()
-    own = {name.strip() for name in named.split(',')} | {LENGTH, dialect.last_event}
-    dropped = HOP_BY_HOP | dialect.reserved | own
+    own = {name.strip() for name in named.split(',')} | {LENGTH, header_names.last_event}
+    dropped = HOP_BY_HOP | header_names.reserved | own
     return tuple(pair for pair in exchange.header_list if pair[0] not in dropped)
 
 
--- a/packages/daemon/src/endivesaddle/daemon/forward_parts.py
+++ b/packages/daemon/src/endivesaddle/daemon/forward_parts.py
@@ -5,9 +5,9 @@
 from endivesaddle.daemon.forwarder_settings import ForwarderSettings
 from endivesaddle.fleet.clock import Clock
 from endivesaddle.fleet.routes.call_times import TimedPeers
-from endivesaddle.fleet.routes.dialect import Dialect
 from endivesaddle.fleet.routes.following import Decoder
 from endivesaddle.fleet.routes.grant_group import KeeperLife
+from endivesaddle.fleet.routes.header_names import HeaderNames
 from endivesaddle.fleet.routes.keeper import Keeper
 from endivesaddle.fleet.routes.keepers import Keepers
 from endivesaddle.fleet.routes.known import Contact, Known
@@ -22,7 +22,7 @@
 
     store: Any
     decoder: Decoder
-    dialect: Dialect
+    header_names: HeaderNames
 
 
 class Decisions(NamedTuple):
--- a/packages/daemon/src/endivesaddle/daemon/forwarder.py
+++ b/packages/daemon/src/endivesaddle/daemon/forwarder.py
@@ -53,7 +53,7 @@
         place = settings.place
         peers = TimedPeers(GrpcPeers(settings.links, clock), clock)
         self.parts = decisions(settings, ports, peers, clock)
-        self.links = ForwardLinks(KeptLinks(), ports.dialect, clock)
+        self.links = ForwardLinks(KeptLinks(), ports.header_names, clock)
         self.neighbours = Neighbours(
             NeighbourParts(*self.parts[1:5], ports.decoder, place.seeds),
             peers,
@@ -80,7 +80,7 @@
         self._app = ForwardApp(
             ForwardParts(
                 settings.http,
-                ports.dialect,
+                ports.header_names,
                 parts.known,
                 runner,
                 clock,
--- a/packages/fleet/src/endivesaddle/fleet/routes/dialect.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/header_names.py
@@ -20,8 +20,8 @@
 """Headers of answers that HTTP itself defines, and that are between server and caller."""
 
 
-class Dialect(NamedTuple):
-    """Names of headers, in lower case.
+class HeaderNames(NamedTuple):
+    """The header names that a platform uses, in lower case.
 
     ``reserved`` are set by the router alone: what a caller sends under these
     names is dropped.  ``seal`` is the server's word that an answer is its own,
@@ -66,6 +66,6 @@
         return {'leaving': self.leaving, 'limit': self.limit, 'retry_after': self.retry_after}
 
     @property
-    def read_of_answers(self) -> tuple[str, ...]:
+    def read_from_responses(self) -> tuple[str, ...]:
         """The headers of servers' answers that are read."""
         return (self.request_id, self.seal, self.declined, *self.signals.values())
--- a/tools/bench_forward.py
+++ b/tools/bench_forward.py
@@ -34,7 +34,7 @@
     Service,
     Target,
 )
-from endivesaddle.fleet.routes.dialect import Dialect
+from endivesaddle.fleet.routes.header_names import HeaderNames
 from endivesaddle.fleet.routes.unread_names import UnreadNames
 from endivesaddle.instances.settings import InstancesSettings
 from endivesaddle.stand_ins.memory_store import MemoryStore
@@ -114,7 +114,7 @@
         links=InstancesSettings(link_in_the_open='yes'),
     )
     logs.set_up(settings.logs, place.instance)
-    await Forwarder(settings, ForwardPorts(store, Documents(), Dialect())).run()
+    await Forwarder(settings, ForwardPorts(store, Documents(), HeaderNames())).run()
 
 
 async def answer(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
