--- a/features/subjects/daemon_ready.py
+++ b/features/subjects/daemon_ready.py
@@ -56,7 +56,7 @@
         for _ in range(int(SETTLED_S / LOOK_S)):
             self._look(fleet)
             await anyio.sleep(LOOK_S)
-        shards = fleet.router('r1').budgets.responsible.own_shards()
+        shards = fleet.router('r1').budgets.assignment.own_shards()
         self.held_when_ready = held_before and len(shards) == 64 and holds_its_own(fleet, 'r1')
 
     async def _play(self, plot: Callable[[MemoryFleet], Awaitable[None]]) -> None:
@@ -89,7 +89,7 @@
     """Tell whether a router holds all shards that are its, and knows their claims."""
     budgets = fleet.router(name).budgets
     shards = budgets.dump()['shards']
-    own = {str(shard) for shard in budgets.responsible.own_shards()}
+    own = {str(shard) for shard in budgets.assignment.own_shards()}
     held = {str(shard) for shard, state in shards.items() if state.get('recovered')}
     return own <= held
 
--- a/features/subjects/trace_replay.py
+++ b/features/subjects/trace_replay.py
@@ -203,7 +203,7 @@
         """Return what is still reserved, by account."""
         found: collections.Counter[str] = collections.Counter()
         for name in filter(self._reachable, self._world.routers):
-            for held in self._fleet.router(name).budgets._keeping.kept.values():
+            for held in self._fleet.router(name).budgets._shard_manager.held_shards.values():
                 for account, ledger in held.ledgers.items() if held else ():
                     found[account] += sum(one.bound_tokens for one in ledger.open.values())
         return dict(+found)
--- a/features/subjects/whole_path.py
+++ b/features/subjects/whole_path.py
@@ -89,7 +89,7 @@
         """Return what is reserved at all holders."""
         ledgers: list[Ledger] = []
         for name in self.world.routers:
-            kept = self.world.fleet.router(name).budgets._keeping.kept.values()
+            kept = self.world.fleet.router(name).budgets._shard_manager.held_shards.values()
             for held in filter(None, kept):
                 ledgers.extend(held.ledgers.values())
         return sum(ledger.reserved for ledger in ledgers)
--- a/packages/fleet/src/endivesaddle/fleet/budgets/responsible.py
+++ b/packages/fleet/src/endivesaddle/fleet/budgets/assignment.py
@@ -9,7 +9,7 @@
 _ROUTER = 'router'
 
 
-class Responsible:
+class ShardAssignment:
     """The routers that should hold the shards, as this instance sees the fleet.
 
     ``shards`` are those that are held at all: all, but in tests of one.
--- a/packages/fleet/src/endivesaddle/fleet/budgets/dumps.py
+++ b/packages/fleet/src/endivesaddle/fleet/budgets/dumps.py
@@ -4,26 +4,26 @@
 
 from endivesaddle.fleet.budgets import records
 from endivesaddle.fleet.budgets.held import HeldShard
-from endivesaddle.fleet.budgets.keeping import Keeping
+from endivesaddle.fleet.budgets.shard_manager import ShardManager
 
 
-def describe(keeping: Keeping) -> dict[str, Any]:
+def describe(shard_manager: ShardManager) -> dict[str, Any]:
     """Return all shards and accounts; tokens and Unix seconds."""
     shards = {
         shard: {'state': 'being taken'} if held is None else _shard(held)
-        for shard, held in keeping.kept.items()
+        for shard, held in shard_manager.held_shards.items()
     }
     accounts = {
         account: _account(held, account)
-        for held in keeping.kept.values()
+        for held in shard_manager.held_shards.values()
         if held is not None
         for account in held.ledgers
     }
     return {
         'shards': shards,
         'accounts': accounts,
-        'store_read_bytes': keeping.records.read_bytes,
-        'store_written_bytes': keeping.records.written_bytes,
+        'store_read_bytes': shard_manager.records.read_bytes,
+        'store_written_bytes': shard_manager.records.written_bytes,
     }
 
 
--- a/packages/fleet/src/endivesaddle/fleet/budgets/holder.py
+++ b/packages/fleet/src/endivesaddle/fleet/budgets/holder.py
@@ -13,13 +13,13 @@
 
 from endivesaddle.fleet.budgets import notices
 from endivesaddle.fleet.budgets.admission import Admission
+from endivesaddle.fleet.budgets.assignment import ShardAssignment
 from endivesaddle.fleet.budgets.dumps import describe
 from endivesaddle.fleet.budgets.held import HeldShard
-from endivesaddle.fleet.budgets.keeping import Keeping
 from endivesaddle.fleet.budgets.ledger import Waiter
 from endivesaddle.fleet.budgets.recovery import Recovery
-from endivesaddle.fleet.budgets.responsible import Responsible
 from endivesaddle.fleet.budgets.settings import BudgetSettings
+from endivesaddle.fleet.budgets.shard_manager import ShardManager
 from endivesaddle.fleet.budgets.transfers import Transfers
 from endivesaddle.fleet.clock import Clock
 from endivesaddle.fleet.configuration import shard_of
@@ -46,12 +46,12 @@
         self._identity = identity
         self._clock = clock
         self._settings = settings
-        self.responsible = Responsible(identity, view)
+        self.assignment = ShardAssignment(identity, view)
         self._recovery = Recovery(settings, identity, store, peers, view, clock)
-        self._keeping = Keeping(
-            settings, identity, store, view, clock, self._recovery, self.responsible
+        self._shard_manager = ShardManager(
+            settings, identity, store, view, clock, self._recovery, self.assignment
         )
-        self._transfers = Transfers(settings, peers, self._keeping, clock)
+        self._transfers = Transfers(settings, peers, self._shard_manager, clock)
         self._admission = Admission(settings, self._transfers, clock)
 
     @property
@@ -69,11 +69,11 @@
 
     async def run(self) -> None:
         """Take the shards that are this router's, and keep them until cancelled."""
-        self._keeping.let_all_go()
+        self._shard_manager.let_all_go()
         async with anyio.create_task_group() as tasks:
             while True:
                 self._keep_own(tasks)
-                self._keeping.forget()
+                self._shard_manager.forget()
                 await anyio.sleep(self._settings.tick_s)
 
     async def reserve(
@@ -96,7 +96,7 @@
     def settle(self, account: str, request_key: str, epoch: int, used_tokens: int) -> int:
         """Settle a request once; return the billed tokens, also when repeated."""
         shard = shard_of(account)
-        held = self._keeping.of_epoch(shard, epoch)
+        held = self._shard_manager.of_epoch(shard, epoch)
         if held is None:
             return self._settle_late(account, request_key, epoch, used_tokens)
         ledger = held.ledger(account)
@@ -128,12 +128,14 @@
 
     def ready(self) -> bool:
         """Tell whether all shards that are this router's are held and recovered."""
-        held = [self._keeping.kept.get(shard) for shard in self.responsible.own_shards()]
+        held = [
+            self._shard_manager.held_shards.get(shard) for shard in self.assignment.own_shards()
+        ]
         return all(shard and not shard.passed and shard.recovered for shard in held)
 
     def holder_address(self, account: str, data_centre: str) -> str:
         """Return the address of the account's holder in a data centre ('' unknown)."""
-        return self.responsible.address(shard_of(account), data_centre)
+        return self.assignment.address(shard_of(account), data_centre)
 
     def confirmed_unix_s(self, account: str) -> float:
         """Return when the store last confirmed that this instance holds the shard."""
@@ -146,14 +148,14 @@
 
     async def seal(self, message: holders_pb2.SealRequest) -> Sequence[holders_pb2.Record]:
         """Admit nothing more under the sealed epochs; report their reservations."""
-        return self._keeping.seal(message)
+        return self._shard_manager.seal(message)
 
     def dump(self) -> dict[str, Any]:
         """Return the state of all shards held here."""
-        return describe(self._keeping)
+        return describe(self._shard_manager)
 
     def _held(self, account: str) -> HeldShard | None:
-        held = self._keeping.kept.get(shard_of(account))
+        held = self._shard_manager.held_shards.get(shard_of(account))
         return None if held is None or held.passed else held
 
     def _settle_late(self, account: str, request_key: str, epoch: int, used_tokens: int) -> int:
@@ -173,7 +175,7 @@
         return NotHolder('this router does not hold the shard of the account', known)
 
     def _keep_own(self, tasks: TaskGroup) -> None:
-        for shard in self.responsible.own_shards():
-            if shard not in self._keeping.kept:
-                self._keeping.kept[shard] = None
-                tasks.start_soon(self._keeping.keep, shard)
+        for shard in self.assignment.own_shards():
+            if shard not in self._shard_manager.held_shards:
+                self._shard_manager.held_shards[shard] = None
+                tasks.start_soon(self._shard_manager.keep, shard)
--- a/packages/fleet/src/endivesaddle/fleet/budgets/keeping.py
+++ b/packages/fleet/src/endivesaddle/fleet/budgets/shard_manager.py
@@ -3,6 +3,7 @@
 import anyio
 
 from endivesaddle.fleet.budgets import notices, sidecars
+from endivesaddle.fleet.budgets.assignment import ShardAssignment
 from endivesaddle.fleet.budgets.errors import BadRecord, EpochPassed, RecordUnsaved
 from endivesaddle.fleet.budgets.held import HeldShard
 from endivesaddle.fleet.budgets.patience import Patience
@@ -10,7 +11,6 @@
 from endivesaddle.fleet.budgets.records_store import RecordStore, Saved
 from endivesaddle.fleet.budgets.recovery import Recovery
 from endivesaddle.fleet.budgets.reports import other_report, own_report
-from endivesaddle.fleet.budgets.responsible import Responsible
 from endivesaddle.fleet.budgets.settings import BudgetSettings
 from endivesaddle.fleet.budgets.takeover import Takeover
 from endivesaddle.fleet.clock import Clock
@@ -19,11 +19,11 @@
 from endivesaddle.fleet.ports import FleetView, Store
 from endivesaddle.wire import holders_pb2
 
-_TROUBLES = (StoreUnreachable, RecordUnsaved)
+_STORE_ERRORS = (StoreUnreachable, RecordUnsaved)
 
 
-class Keeping:
-    """The shards of one router; ``kept`` has None for one that is being taken."""
+class ShardManager:
+    """The shards of one router; ``held_shards`` has None for one that is being taken."""
 
     def __init__(
         self,
@@ -33,32 +33,32 @@
         view: FleetView,
         clock: Clock,
         recovery: Recovery,
-        responsible: Responsible,
+        assignment: ShardAssignment,
     ) -> None:
         """Keep nothing yet; ``recovery`` learns of passed epochs."""
-        self._responsible = responsible
+        self._responsible = assignment
         self.recovery = recovery
         self._settings = settings
         self._identity = identity
         self._view = view
         self._clock = clock
         self.records = RecordStore(store, clock)
-        self.kept: dict[int, HeldShard | None] = {}
-        self.past: dict[tuple[int, int], HeldShard] = {}
+        self.held_shards: dict[int, HeldShard | None] = {}
+        self.past_shards: dict[tuple[int, int], HeldShard] = {}
         self._patience = Patience()
-        self._had_unix_s: dict[tuple[int, int], float] = {}
+        self._ended_unix_s: dict[tuple[int, int], float] = {}
         self._floors: dict[tuple[int, str], int] = {}
 
     async def keep(self, shard: int) -> None:
         """Hold one shard until its epoch is passed or its record is bad."""
         held = await self._take(shard)
         if held is not None:
-            self.kept[shard] = held
+            self.held_shards[shard] = held
             notices.TAKEN_OVER.log(shard=shard, epoch=held.epoch)
             await self._hold(held)
             self._end(held)
             await anyio.sleep(self._patience.lost(shard, self._clock.now_s()))
-        self.kept.pop(shard)
+        self.held_shards.pop(shard)
 
     def let_all_go(self) -> None:
         """Stop admitting under all epochs had so far: their tasks have ended.
@@ -66,18 +66,18 @@
         Where the background task broke off and was started again, a shard without its
         task would admit for ever without writing what it spends.
         """
-        for held in list(self.kept.values()):
+        for held in list(self.held_shards.values()):
             if held is not None:
                 held.stop('the task that kept the shard has ended')
                 self._end(held)
-        self.kept.clear()
+        self.held_shards.clear()
 
     def of_epoch(self, shard: int, epoch: int) -> HeldShard | None:
         """Return a shard as it is or was held here under an epoch."""
-        held = self.kept.get(shard)
+        held = self.held_shards.get(shard)
         if held is not None and held.epoch == epoch:
             return held
-        return self.past.get((shard, epoch))
+        return self.past_shards.get((shard, epoch))
 
     async def write(self, held: HeldShard) -> None:
         """Write what is due for one shard; whoever waits for headroom is told."""
@@ -107,17 +107,17 @@
     def forget(self) -> None:
         """Forget passed epochs that no successor is to ask for any more."""
         oldest_unix_s = self._clock.now_s() - self._settings.records_kept_s
-        for place, ended_unix_s in list(self._had_unix_s.items()):
+        for place, ended_unix_s in list(self._ended_unix_s.items()):
             if ended_unix_s < oldest_unix_s:
-                self.past.pop(place, None)
+                self.past_shards.pop(place, None)
 
     def floor(self, shard: int, data_centre: str) -> int:
         """Return the lowest epoch of a data centre that isn't sealed here."""
         return self._floors.get((shard, data_centre), 0)
 
     def _ever_held(self, shard: int) -> list[HeldShard]:
-        held = [known for (kept, _), known in self.past.items() if kept == shard]
-        current = self.kept.get(shard)
+        held = [known for (kept, _), known in self.past_shards.items() if kept == shard]
+        current = self.held_shards.get(shard)
         return held if current is None else [*held, current]
 
     def _is_stale(self, held: HeldShard, now_unix_s: float) -> bool:
@@ -145,9 +145,9 @@
     def _end(self, held: HeldShard) -> None:
         notices.PASSED.log(shard=held.shard, epoch=held.epoch, reason=held.passed)
         place = (held.shard, held.epoch)
-        self._had_unix_s[place] = self._clock.now_s()
-        self.past[place] = held
-        self.kept[held.shard] = None
+        self._ended_unix_s[place] = self._clock.now_s()
+        self.past_shards[place] = held
+        self.held_shards[held.shard] = None
 
     async def _save(self, held: HeldShard, plan: Plan, known: Saved | None) -> None:
         began_unix_s = self._clock.now_s()
@@ -186,8 +186,8 @@
                 return await self._try_to_take(shard)
             except BadRecord as bad:
                 notices.BAD_RECORD.log(shard=shard, reason=str(bad))
-            except _TROUBLES as trouble:
-                notices.STORE_TROUBLE.log(shard=shard, reason=str(trouble))
+            except _STORE_ERRORS as error:
+                notices.STORE_TROUBLE.log(shard=shard, reason=str(error))
             await anyio.sleep(self._settings.store_timeout_s)
         return None
 
@@ -195,7 +195,7 @@
         now_unix_s = self._clock.now_s()
         # Every epoch ever had, also a forgotten one: to take it up again without its
         # ledgers would spend its ceiling a second time.
-        past = frozenset(epoch for kept, epoch in self._had_unix_s if kept == shard)
+        past = frozenset(epoch for kept, epoch in self._ended_unix_s if kept == shard)
         fleet = sidecars.fingerprint(self._view)
         takeover = Takeover(self._identity, past, fleet, int(now_unix_s))
         deadline_unix_s = now_unix_s + self._settings.store_timeout_s
--- a/packages/fleet/src/endivesaddle/fleet/budgets/transfers.py
+++ b/packages/fleet/src/endivesaddle/fleet/budgets/transfers.py
@@ -12,11 +12,11 @@
 
 from endivesaddle.fleet.budgets import notices
 from endivesaddle.fleet.budgets.held import HeldShard
-from endivesaddle.fleet.budgets.keeping import Keeping
 from endivesaddle.fleet.budgets.ledger import Ledger, Move
 from endivesaddle.fleet.budgets.moves import MoveId, Side, parse_id
 from endivesaddle.fleet.budgets.records import Grant
 from endivesaddle.fleet.budgets.settings import BudgetSettings
+from endivesaddle.fleet.budgets.shard_manager import ShardManager
 from endivesaddle.fleet.clock import Clock
 from endivesaddle.fleet.configuration import rendezvous, shard_of
 from endivesaddle.fleet.errors import PeerRefused, PeerSilent, PeerUnreachable
@@ -43,13 +43,13 @@
         self,
         settings: BudgetSettings,
         peers: Peers,
-        keeping: Keeping,
+        shard_manager: ShardManager,
         clock: Clock,
     ) -> None:
-        """Move headroom of the shards that ``keeping`` holds."""
+        """Move headroom of the shards that ``shard_manager`` holds."""
         self._settings = settings
         self._peers = peers
-        self._keeping = keeping
+        self._shard_manager = shard_manager
         self._clock = clock
         self._asked = 0
 
@@ -70,7 +70,7 @@
 
     async def give(self, message: holders_pb2.TransferRequest) -> holders_pb2.TransferReply:
         """Give headroom to the receiver that asks, below its epoch and this one's."""
-        held = self._keeping.kept.get(shard_of(message.account))
+        held = self._shard_manager.held_shards.get(shard_of(message.account))
         if held is None or held.passed:
             return holders_pb2.TransferReply(reason='not the holder')
         transfer = _parsed(message)
@@ -135,7 +135,7 @@
                 held.look_again()
             return
         move = Move(*ask.donor, reply.tokens)
-        sealed = move.epoch < self._keeping.floor(held.shard, move.data_centre)
+        sealed = move.epoch < self._shard_manager.floor(held.shard, move.data_centre)
         held.dirty = True
         if sealed or held.passed:
             # The seal was answered without these tokens: they can't be used any more.
@@ -173,7 +173,7 @@
             return holders_pb2.TransferReply(reason='no headroom')
         ledger.offering = max(ledger.offering, tokens)
         ledger.transit.gave_unix_s = self._clock.now_s()
-        await self._keeping.write(held)
+        await self._shard_manager.write(held)
         reason = 'given back to the store' if held.reachable else 'the store is not reached'
         return holders_pb2.TransferReply(tokens=tokens, from_epoch=held.epoch, reason=reason)
 
--- a/packages/stand_ins/src/endivesaddle/stand_ins/budget_fleet.py
+++ b/packages/stand_ins/src/endivesaddle/stand_ins/budget_fleet.py
@@ -9,7 +9,7 @@
 import anyio
 from anyio.abc import TaskGroup
 
-from endivesaddle.fleet.budgets.responsible import Responsible
+from endivesaddle.fleet.budgets.assignment import ShardAssignment
 from endivesaddle.fleet.budgets.settings import BudgetSettings
 from endivesaddle.fleet.clock import LoopClock
 from endivesaddle.fleet.configuration import Account, BackendServer, Configuration, shard_of
@@ -131,7 +131,7 @@
         self.view = LinkedView(self.members, self.configuration)
         nobody = Identity('', 'sidecar', '', '', '', 1)
         seen = OnePlaceView(self.view) if EVERYWHERE in self.places else self.view
-        self._responsible = Responsible(nobody, seen)
+        self._responsible = ShardAssignment(nobody, seen)
         for server in self.configuration.servers:
             self.start_sidecar(server)
         for data_centre in self.data_centres:
--- a/packages/stand_ins/src/endivesaddle/stand_ins/budget_variants.py
+++ b/packages/stand_ins/src/endivesaddle/stand_ins/budget_variants.py
@@ -69,7 +69,7 @@
     holder = BudgetHolder(
         links.settings, links.identity, links.store, links.peers, links.view, links.clock
     )
-    holder.responsible.shards = links.shards
+    holder.assignment.shards = links.shards
     return holder
 
 
--- a/packages/stand_ins/src/endivesaddle/stand_ins/memory_fleet.py
+++ b/packages/stand_ins/src/endivesaddle/stand_ins/memory_fleet.py
@@ -224,7 +224,7 @@
         identity = self._identity(place, 'router', address)
         handlers = Handlers()
         node = Router(settings, identity, self._ports(address), handlers)
-        node.budgets.responsible.shards = self.shards
+        node.budgets.assignment.shards = self.shards
         self._serve(place, address, node, handlers)
 
     def _start_sidecar(self, place: Place, beside: EngineState | ServiceState) -> None:
--- a/tools/mutate.py
+++ b/tools/mutate.py
@@ -18,8 +18,8 @@
 from loguru import logger
 
 from endivesaddle.daemon.router import Router
-from endivesaddle.fleet.budgets.keeping import Keeping
 from endivesaddle.fleet.budgets.ledger import Ledger
+from endivesaddle.fleet.budgets.shard_manager import ShardManager
 from endivesaddle.fleet.registry import Registry
 from endivesaddle.fleet.requests.asking import Asked, Asker
 from endivesaddle.fleet.requests.following import Follower
@@ -147,12 +147,14 @@
 @safeguards.add('a shard that lost the store looks at it again')
 def look_again() -> Safeguard:
     """Look only when there is something to write."""
-    is_stale = Keeping._is_stale
+    is_stale = ShardManager._is_stale
 
-    def idle(self: Keeping, held: Any, now_unix_s: float) -> bool:
+    def idle(self: ShardManager, held: Any, now_unix_s: float) -> bool:
         return held.reachable and is_stale(self, held, now_unix_s)
 
-    return Safeguard((Instead(Keeping, '_is_stale', idle),), ('store is down / claim is asked',))
+    return Safeguard(
+        (Instead(ShardManager, '_is_stale', idle),), ('store is down / claim is asked',)
+    )
 
 
 def failures(name: str) -> list[str]:
