--- a/packages/fleet/src/endivesaddle/fleet/requests/driving.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/call_executor.py
@@ -8,7 +8,7 @@
 from endivesaddle.fleet.requests.context import Context
 from endivesaddle.fleet.requests.events import OUTCOME_UNKNOWN, SIDECAR_LOST
 from endivesaddle.fleet.requests.finishing import Finisher
-from endivesaddle.fleet.requests.holding import Holding
+from endivesaddle.fleet.requests.holder_client import HolderClient
 from endivesaddle.fleet.requests.starting import Start, Starter
 from endivesaddle.fleet.requests.steps import Stepper
 from endivesaddle.fleet.seams import Answer, Choice, Routing
@@ -16,7 +16,7 @@
 from endivesaddle.wire import holders_pb2, runs_pb2
 
 
-class Driver:
+class CallExecutor:
     """Claims, places, starts and follows; goes round again until there is an answer.
 
     Each method returns the caller's answer or refusal, or None: the claim has to
@@ -27,23 +27,23 @@
         self,
         context: Context,
         routing: Routing,
-        holding: Holding,
+        holder_client: HolderClient,
         finisher: Finisher,
         answering: Answering,
     ) -> None:
         """Drive calls of one router."""
         self._context = context
         self._routing = routing
-        self._holding = holding
+        self._holder_client = holder_client
         self._finisher = finisher
         self._answering = answering
         self._starter = Starter(context)
         self._stepper = Stepper(context.identity, context.clock)
 
-    async def drive(self, call: Call) -> Answer | Refusal:
+    async def execute(self, call: Call) -> Answer | Refusal:
         """Return the whole answer, or a refusal that is true."""
         while True:
-            reply = await self._holding.claim(call)
+            reply = await self._holder_client.claim(call)
             if isinstance(reply, Refusal):
                 return self._true(call, reply)
             call.record = reply.record
@@ -133,7 +133,7 @@
 
     async def _dispatch(self, call: Call, placed: Placed) -> str:
         step = self._stepper.step(states.DISPATCHED, placed.attempt, placed.server)
-        reason = await self._holding.note(
+        reason = await self._holder_client.note(
             call,
             holders_pb2.NoteRequest(
                 request_key=call.request.key,
@@ -155,7 +155,7 @@
     async def _withdraw(self, call: Call, step_name: str, detail: str) -> str:
         attempt = call.record.attempt
         call.withdrawn.add(attempt)
-        return await self._holding.note(
+        return await self._holder_client.note(
             call,
             holders_pb2.NoteRequest(
                 request_key=call.request.key,
@@ -169,7 +169,7 @@
         )
 
     async def _run(self, call: Call, placed: Placed, own: bool) -> Answer | Refusal | None:
-        holder = self._holding.settling_address(call.record)
+        holder = self._holder_client.settling_address(call.record)
         outcome = await self._starter.start(call, placed, holder, own)
         if outcome.start is Start.RUNNING:
             return await self._follow(call, placed._replace(attempt=outcome.attempt))
--- a/packages/fleet/src/endivesaddle/fleet/requests/claims.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/claims.py
@@ -17,9 +17,9 @@
 from endivesaddle.fleet.requests.dispatching import Dispatcher
 from endivesaddle.fleet.requests.finding import Matcher, find_in, match_field
 from endivesaddle.fleet.requests.granting import Granter
-from endivesaddle.fleet.requests.marks import Marks
 from endivesaddle.fleet.requests.questions import Questions
-from endivesaddle.fleet.requests.seals import Seals
+from endivesaddle.fleet.requests.retry_marks import RetryMarks
+from endivesaddle.fleet.requests.sealed_epochs import SealedEpochs
 from endivesaddle.fleet.requests.settings import RequestSettings
 from endivesaddle.fleet.requests.settling import Ended, Settler
 from endivesaddle.fleet.requests.sweeping import Sweeper
@@ -52,9 +52,9 @@
         self._context = context
         self._matcher = matcher
         self._counters = Counters()
-        self._seals = Seals()
+        self._seals = SealedEpochs()
         self._table = Table(settings, clock)
-        self._marks = Marks(clock)
+        self._marks = RetryMarks(clock)
         self._copies = Copies(context)
         asker = Asker(context)
         self._settler = Settler(context, self._table, self._counters.ended(ended))
--- a/packages/fleet/src/endivesaddle/fleet/requests/deciding.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/deciding.py
@@ -8,8 +8,8 @@
 from endivesaddle.fleet.requests.asking import Asked, Asker
 from endivesaddle.fleet.requests.context import Context
 from endivesaddle.fleet.requests.events import CLAIM_REFUSED, CLAIM_YIELDED, PROVISIONAL
-from endivesaddle.fleet.requests.marks import Marks
-from endivesaddle.fleet.requests.seals import Seals
+from endivesaddle.fleet.requests.retry_marks import RetryMarks
+from endivesaddle.fleet.requests.sealed_epochs import SealedEpochs
 from endivesaddle.fleet.requests.steps import Stepper, append
 from endivesaddle.fleet.requests.table import Entry, Table
 from endivesaddle.fleet.seams import Reserved
@@ -56,7 +56,7 @@
     """Decides on claims that nothing is known of here."""
 
     def __init__(
-        self, context: Context, asker: Asker, table: Table, marks: Marks, seals: Seals
+        self, context: Context, asker: Asker, table: Table, marks: RetryMarks, seals: SealedEpochs
     ) -> None:
         """Decide for one holder."""
         self._seals = seals
--- a/packages/fleet/src/endivesaddle/fleet/requests/finishing.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/finishing.py
@@ -8,7 +8,7 @@
 from endivesaddle.fleet.requests.calls import Call
 from endivesaddle.fleet.requests.context import Context
 from endivesaddle.fleet.requests.events import SETTLE_DELAYED, SETTLE_GIVEN_UP
-from endivesaddle.fleet.requests.holding import Holding
+from endivesaddle.fleet.requests.holder_client import HolderClient
 from endivesaddle.fleet.requests.steps import Stepper, append
 from endivesaddle.wire import holders_pb2, rpcs, runs_pb2
 
@@ -19,11 +19,13 @@
 class Finisher:
     """Settles what a call came to, at its holder or in safe keeping until then."""
 
-    def __init__(self, context: Context, holding: Holding, background: Background) -> None:
+    def __init__(
+        self, context: Context, holder_client: HolderClient, background: Background
+    ) -> None:
         """Settle in the name of one router."""
         self.unsettled = 0
         self._context = context
-        self._holding = holding
+        self._holder_client = holder_client
         self._background = background
         self._stepper = Stepper(context.identity, context.clock)
 
@@ -38,7 +40,7 @@
         if await self._try(message):
             return
         record = message.record
-        kept = await self._holding.copy(record)
+        kept = await self._holder_client.copy(record)
         SETTLE_DELAYED.log(request_key=record.request_key, copied=kept)
         if self.unsettled < MAX_UNSETTLED:
             self.unsettled += 1
@@ -55,7 +57,7 @@
         message = self._message(call, states.REFUSED, 0)
         message.ClearField('record')
         message.refusal_status = status
-        reply = await self._holding.settle(message)
+        reply = await self._holder_client.settle(message)
         return reply is not None and reply.settled
 
     async def leave(self, call: Call) -> None:
@@ -94,7 +96,7 @@
             call_id=call.call_id,
             steps=[step],
         )
-        return not await self._holding.note(call, message)
+        return not await self._holder_client.note(call, message)
 
     async def _cancel(self, call: Call) -> None:
         record = call.record
@@ -137,9 +139,9 @@
         short = holders_pb2.SettleRequest()
         short.CopyFrom(message)
         short.ClearField('record')
-        reply = await self._holding.settle(short)
+        reply = await self._holder_client.settle(short)
         if reply is not None and reply.reason == states.NO_RECORD:
-            reply = await self._holding.settle(message)
+            reply = await self._holder_client.settle(message)
         return reply is not None and reply.settled
 
     async def _keep_trying(self, message: holders_pb2.SettleRequest) -> None:
--- a/packages/fleet/src/endivesaddle/fleet/requests/following.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/following.py
@@ -8,7 +8,7 @@
 from endivesaddle.fleet.requests.calls import Placed
 from endivesaddle.fleet.requests.context import Context
 from endivesaddle.fleet.requests.errors import RunForgotten, RunLost
-from endivesaddle.fleet.requests.patience import Patience
+from endivesaddle.fleet.requests.loss_detector import LossDetector
 from endivesaddle.fleet.seams import CallerRequest
 from endivesaddle.wire import rpcs, runs_pb2
 
@@ -34,7 +34,7 @@
         self.dropped_chunks = 0
         self._context = context
         self._request = request
-        self._patience = Patience(context, request.may_repeat)
+        self._loss_detector = LossDetector(context, request.may_repeat)
 
     async def pieces(self) -> AsyncGenerator[bytes, None]:
         """Yield the answer's data; ``head`` is set before the first, ``end`` at last.
@@ -63,7 +63,7 @@
                 continue
             if self._has_gap(chunk):
                 break
-            self._patience.alive()
+            self._loss_detector.heard_from()
             piece = self._take(chunk)
             if piece or chunk.HasField('head'):
                 yield piece
@@ -98,6 +98,6 @@
         late = (
             self._context.now_s() >= self._request.deadline_unix_s + self._context.settings.call_s
         )
-        if late or self._patience.lost(self.placed):
+        if late or self._loss_detector.lost(self.placed):
             raise RunLost(str(error)) from error
         await anyio.sleep(self._context.settings.retry_pause_s)
--- a/packages/fleet/src/endivesaddle/fleet/requests/front.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/front.py
@@ -8,12 +8,12 @@
 from endivesaddle.fleet.ports import FleetView, Peers
 from endivesaddle.fleet.requests.answering import Answering
 from endivesaddle.fleet.requests.background import Background
+from endivesaddle.fleet.requests.call_executor import CallExecutor
 from endivesaddle.fleet.requests.calls import Call
 from endivesaddle.fleet.requests.context import Context
 from endivesaddle.fleet.requests.counting import Counters
-from endivesaddle.fleet.requests.driving import Driver
 from endivesaddle.fleet.requests.finishing import Finisher
-from endivesaddle.fleet.requests.holding import Holding
+from endivesaddle.fleet.requests.holder_client import HolderClient
 from endivesaddle.fleet.requests.settings import RequestSettings
 from endivesaddle.fleet.seams import Answer, Budgets, CallerRequest, Routing
 from endivesaddle.fleet.sentinels import Refusal
@@ -38,10 +38,12 @@
         self._counters = Counters()
         self._calls: dict[str, Call] = {}
         context = Context(settings, identity, budgets, peers, view, clock)
-        holding = Holding(context)
-        self._finisher = Finisher(context, holding, self._background)
+        holder_client = HolderClient(context)
+        self._finisher = Finisher(context, holder_client, self._background)
         self._answering = Answering(context, routing, self._finisher, self._background)
-        self._driver = Driver(context, routing, holding, self._finisher, self._answering)
+        self._executor = CallExecutor(
+            context, routing, holder_client, self._finisher, self._answering
+        )
 
     async def run(self) -> None:
         """Settle and cancel what callers left behind, until cancelled."""
@@ -52,7 +54,7 @@
         call = Call(request, self._identity.data_centre)
         self._calls[call.call_id] = call
         try:
-            came_to = await self._driver.drive(call)
+            came_to = await self._executor.execute(call)
         except asyncio.CancelledError:
             self._counters.add('abandoned')
             self._answering.abandon(call)
--- a/packages/fleet/src/endivesaddle/fleet/requests/holding.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/holder_client.py
@@ -19,7 +19,7 @@
 """How often all holders are tried before a claim is given up."""
 
 
-class Holding:
+class HolderClient:
     """Finds the holder of an account and calls it until it has answered."""
 
     def __init__(self, context: Context) -> None:
--- a/packages/fleet/src/endivesaddle/fleet/requests/patience.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/loss_detector.py
@@ -4,7 +4,7 @@
 from endivesaddle.fleet.requests.context import Context
 
 
-class Patience:
+class LossDetector:
     """Decides when a sidecar counts as lost: by its absence, or by a stored deadline.
 
     Longer for a request that may not be repeated, whose run can only be heard of
@@ -19,7 +19,7 @@
         self._context = context
         self._until_unix_s = 0.0
 
-    def alive(self) -> None:
+    def heard_from(self) -> None:
         """Take a sign of life."""
         self._until_unix_s = 0
 
--- a/packages/fleet/src/endivesaddle/fleet/requests/questions.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/questions.py
@@ -4,7 +4,7 @@
 from endivesaddle.fleet.requests.context import Context
 from endivesaddle.fleet.requests.copies import Copies
 from endivesaddle.fleet.requests.deciding import Pending, goes_first
-from endivesaddle.fleet.requests.marks import Marks
+from endivesaddle.fleet.requests.retry_marks import RetryMarks
 from endivesaddle.fleet.requests.table import Entry, Table
 from endivesaddle.fleet.sentinels import NotHolder
 from endivesaddle.wire import holders_pb2
@@ -18,7 +18,7 @@
         context: Context,
         table: Table,
         copies: Copies,
-        marks: Marks,
+        marks: RetryMarks,
         pending: dict[str, Pending],
     ) -> None:
         """Answer from the table, the copies and the claims under way."""
@@ -43,7 +43,7 @@
             return holders_pb2.AskReply(verdict=states.KNOWN, record=known)
         if not self._give_way(message):
             return holders_pb2.AskReply(verdict=states.YIELD)
-        self._marks.plant(message.request_key, message.mark_until_unix_s)
+        self._marks.add(message.request_key, message.mark_until_unix_s)
         sure = budgets.recovered(message.account)
         return holders_pb2.AskReply(verdict=states.MARKED if sure else states.UNSURE)
 
--- a/packages/fleet/src/endivesaddle/fleet/requests/marks.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/retry_marks.py
@@ -11,7 +11,7 @@
 from endivesaddle.fleet.clock import Clock
 
 
-class Marks:
+class RetryMarks:
     """Request keys that were asked about, until a stored deadline."""
 
     def __init__(self, clock: Clock) -> None:
@@ -24,7 +24,7 @@
         """Return the number of marks."""
         return len(self._until)
 
-    def plant(self, request_key: str, until_unix_s: float) -> None:
+    def add(self, request_key: str, until_unix_s: float) -> None:
         """Mark a key; a later deadline wins."""
         if until_unix_s <= self._until.get(request_key, 0):
             return
--- a/packages/fleet/src/endivesaddle/fleet/requests/seals.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/sealed_epochs.py
@@ -5,7 +5,7 @@
 from endivesaddle.wire import holders_pb2
 
 
-class Seals:
+class SealedEpochs:
     """The lowest epoch that may still grant, by shard and data centre."""
 
     def __init__(self) -> None:
--- a/packages/fleet/src/endivesaddle/fleet/requests/starting.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/starting.py
@@ -9,7 +9,7 @@
 from endivesaddle.fleet.requests import states
 from endivesaddle.fleet.requests.calls import SERVICE, Call, Placed
 from endivesaddle.fleet.requests.context import Context
-from endivesaddle.fleet.requests.patience import Patience
+from endivesaddle.fleet.requests.loss_detector import LossDetector
 from endivesaddle.wire import rpcs, runs_pb2
 
 
@@ -46,7 +46,7 @@
         it: only the sidecar's own word then tells that it did not run.
         """
         message = self._message(call, placed, holder)
-        patience = Patience(self._context, call.request.may_repeat)
+        loss_detector = LossDetector(self._context, call.request.may_repeat)
         sent = not own
         while True:
             try:
@@ -63,7 +63,7 @@
             else:
                 return _understand(reply, placed)
             late = self._context.now_s() >= call.request.deadline_unix_s
-            if late or patience.lost(placed):
+            if late or loss_detector.lost(placed):
                 return StartOutcome(Start.LOST, placed.attempt, reason)
             await anyio.sleep(self._context.settings.retry_pause_s)
 
--- a/packages/fleet/src/endivesaddle/fleet/requests/sweeping.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/sweeping.py
@@ -12,7 +12,7 @@
 from endivesaddle.fleet.requests.copies import Copies
 from endivesaddle.fleet.requests.deciding import goes_first
 from endivesaddle.fleet.requests.events import RESOLVED
-from endivesaddle.fleet.requests.marks import Marks
+from endivesaddle.fleet.requests.retry_marks import RetryMarks
 from endivesaddle.fleet.requests.settling import Settler
 from endivesaddle.fleet.requests.steps import Stepper, append, has_step
 from endivesaddle.fleet.requests.table import Entry, Table
@@ -37,7 +37,7 @@
         self._stepper = Stepper(context.identity, context.clock)
         self._background = Background()
 
-    async def run(self, marks: Marks, copies: Copies) -> None:
+    async def run(self, marks: RetryMarks, copies: Copies) -> None:
         """Sweep until cancelled."""
         self.started_unix_s = self._context.now_s()
         async with anyio.create_task_group() as group:
--- a/tools/mutate.py
+++ b/tools/mutate.py
@@ -23,7 +23,7 @@
 from endivesaddle.fleet.registry import Registry
 from endivesaddle.fleet.requests.asking import Asked, Asker
 from endivesaddle.fleet.requests.following import Follower
-from endivesaddle.fleet.requests.marks import Marks
+from endivesaddle.fleet.requests.retry_marks import RetryMarks
 from endivesaddle.fleet.requests.table import Entry
 from endivesaddle.fleet.runs.drain import Drain
 from endivesaddle.fleet.runs.runs import Runs
@@ -82,7 +82,7 @@
 @safeguards.add('the question leaves a mark for a late first attempt')
 def marks() -> Safeguard:
     """Never find a mark."""
-    return Safeguard((Instead(Marks, 'marked', lambda *_: False),), ('held up',))
+    return Safeguard((Instead(RetryMarks, 'marked', lambda *_: False),), ('held up',))
 
 
 @safeguards.add('a bill is settled once')
