--- a/packages/fleet/src/endivesaddle/fleet/requests/claims.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/claims.py
@@ -8,8 +8,6 @@
 from endivesaddle.fleet.identity import Identity
 from endivesaddle.fleet.ports import FleetView, Handlers, Peers
 from endivesaddle.fleet.requests import states
-from endivesaddle.fleet.requests.adopting import Adopter
-from endivesaddle.fleet.requests.asking import Asker
 from endivesaddle.fleet.requests.context import Context
 from endivesaddle.fleet.requests.copies import Copies
 from endivesaddle.fleet.requests.counting import Counters
@@ -17,8 +15,10 @@
 from endivesaddle.fleet.requests.dispatching import Dispatcher
 from endivesaddle.fleet.requests.finding import Matcher, find_in, match_field
 from endivesaddle.fleet.requests.granting import Granter
-from endivesaddle.fleet.requests.questions import Questions
+from endivesaddle.fleet.requests.record_merger import RecordMerger
 from endivesaddle.fleet.requests.retry_marks import RetryMarks
+from endivesaddle.fleet.requests.retry_queries import RetryQuerier
+from endivesaddle.fleet.requests.retry_query_handler import RetryQueryHandler
 from endivesaddle.fleet.requests.sealed_epochs import SealedEpochs
 from endivesaddle.fleet.requests.settings import RequestSettings
 from endivesaddle.fleet.requests.settling import Ended, Settler
@@ -56,21 +56,21 @@
         self._table = Table(settings, clock)
         self._marks = RetryMarks(clock)
         self._copies = Copies(context)
-        asker = Asker(context)
+        retry_querier = RetryQuerier(context)
         self._settler = Settler(context, self._table, self._counters.ended(ended))
-        self._adopter = Adopter(self._table, self._settler)
-        decider = Decider(context, asker, self._table, self._marks, self._seals)
+        self._record_merger = RecordMerger(self._table, self._settler)
+        decider = Decider(context, retry_querier, self._table, self._marks, self._seals)
         self._granter = Granter(context, self._table, decider, self._settler, self._counters)
-        self._questions = Questions(
+        self._retry_query_handler = RetryQueryHandler(
             context, self._table, self._copies, self._marks, self._granter.pending
         )
         self._dispatcher = Dispatcher(self._copies, self._seals.seals)
-        self._sweeper = Sweeper(context, self._table, self._settler, asker)
+        self._sweeper = Sweeper(context, self._table, self._settler, retry_querier)
 
     def register(self, handlers: Handlers) -> None:
         """Answer the calls of holders.proto that are about requests."""
         handlers.answer(rpcs.CLAIM, self.claim)
-        handlers.answer(rpcs.ASK, self._questions.ask)
+        handlers.answer(rpcs.ASK, self._retry_query_handler.ask)
         handlers.answer(rpcs.NOTE, self.note)
         handlers.answer(rpcs.SETTLE, self.settle)
         handlers.answer(rpcs.COPY, self._copies.copy)
@@ -142,7 +142,7 @@
         """Take in what ran under sealed epochs; ``complete``: nothing is missing."""
         for record in records:
             if record.shard == shard:
-                self._adopter.take_in(record)
+                self._record_merger.merge(record)
         self._counters.add('adopted', len(records))
 
     def copied(self, request_key: str) -> holders_pb2.Record | None:
@@ -174,7 +174,7 @@
             'copies': len(self._copies),
             'marks': len(self._marks),
             'pending': len(self._granter.pending),
-            'asked': self._questions.asked,
+            'asked': self._retry_query_handler.asked,
         }
 
 
--- a/packages/fleet/src/endivesaddle/fleet/requests/deciding.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/deciding.py
@@ -5,10 +5,10 @@
 from endivesaddle.fleet.clock import left_s
 from endivesaddle.fleet.configuration import rendezvous
 from endivesaddle.fleet.requests import refusals, states
-from endivesaddle.fleet.requests.asking import Asked, Asker
 from endivesaddle.fleet.requests.context import Context
 from endivesaddle.fleet.requests.events import CLAIM_REFUSED, CLAIM_YIELDED, PROVISIONAL
 from endivesaddle.fleet.requests.retry_marks import RetryMarks
+from endivesaddle.fleet.requests.retry_queries import RetryQuerier, RetryQueryResult
 from endivesaddle.fleet.requests.sealed_epochs import SealedEpochs
 from endivesaddle.fleet.requests.steps import Stepper, append
 from endivesaddle.fleet.requests.table import Entry, Table
@@ -56,12 +56,17 @@
     """Decides on claims that nothing is known of here."""
 
     def __init__(
-        self, context: Context, asker: Asker, table: Table, marks: RetryMarks, seals: SealedEpochs
+        self,
+        context: Context,
+        retry_querier: RetryQuerier,
+        table: Table,
+        marks: RetryMarks,
+        seals: SealedEpochs,
     ) -> None:
         """Decide for one holder."""
         self._seals = seals
         self._context = context
-        self._asker = asker
+        self._retry_querier = retry_querier
         self._table = table
         self._marks = marks
         self._stepper = Stepper(context.identity, context.clock)
@@ -72,28 +77,30 @@
         held = self._context.budgets.held(message.account)
         if isinstance(held, NotHolder):
             return _not_holder(held)
-        asked = await self._ask(message, held)
-        if asked.known is not None and not self._given_back(asked.known):
-            return self._tell_known(asked.known, message, asked)
-        if asked.yield_to:
-            return self._lead_to(asked.yield_to, message)
+        query_result = await self._query(message, held)
+        if query_result.known is not None and not self._given_back(query_result.known):
+            return self._tell_known(query_result.known, message, query_result)
+        if query_result.yield_to:
+            return self._lead_to(query_result.yield_to, message)
         if self._known_here(message.request_key):
             return None
-        return await self._reserve(pending, asked)
+        return await self._reserve(pending, query_result)
 
     async def conflict(self, message: holders_pb2.ClaimRequest) -> holders_pb2.ClaimReply:
         """Refuse another body; "not run" only where no data centre knows this one."""
         not_run = NOT_RUN
         if not message.first_attempt:
-            asked = await self._asker.ask_all(message, 0)
-            known = asked.known is not None and asked.known.digest == message.digest
-            not_run = RUN_UNKNOWN if known or asked.unsure else NOT_RUN
+            query_result = await self._retry_querier.query_all(message, 0)
+            known = query_result.known is not None and query_result.known.digest == message.digest
+            not_run = RUN_UNKNOWN if known or query_result.unsure else NOT_RUN
         return refusals.to_reply(refusals.IDEMPOTENCY_CONFLICT.refuse(not_run))
 
-    async def _reserve(self, pending: Pending, asked: Asked) -> holders_pb2.ClaimReply | None:
+    async def _reserve(
+        self, pending: Pending, query_result: RetryQueryResult
+    ) -> holders_pb2.ClaimReply | None:
         message = pending.message
-        not_run = RUN_UNKNOWN if asked.unsure else NOT_RUN
-        refusal = self._check(message, asked)
+        not_run = RUN_UNKNOWN if query_result.unsure else NOT_RUN
+        refusal = self._check(message, query_result)
         if refusal is not None:
             return self._refuse(message, refusal, not_run)
         reserved = await self._context.budgets.reserve(
@@ -103,17 +110,19 @@
             return self._refuse(message, reserved, not_run)
         if isinstance(reserved, NotHolder):
             return _not_holder(reserved)
-        return self._grant(pending, reserved, asked)
+        return self._grant(pending, reserved, query_result)
 
-    async def _ask(self, message: holders_pb2.ClaimRequest, held: Reserved) -> Asked:
+    async def _query(self, message: holders_pb2.ClaimRequest, held: Reserved) -> RetryQueryResult:
         if not self._possible_retry(message, held):
-            return Asked()
-        asked = await self._asker.ask_all(message, held.epoch)
-        if asked.known is not None or asked.yield_to:
-            return asked
+            return RetryQueryResult()
+        query_result = await self._retry_querier.query_all(message, held.epoch)
+        if query_result.known is not None or query_result.yield_to:
+            return query_result
         if await self._recovered(message):
-            return asked
-        return asked._replace(unsure=(*asked.unsure, self._context.identity.data_centre))
+            return query_result
+        return query_result._replace(
+            unsure=(*query_result.unsure, self._context.identity.data_centre)
+        )
 
     def _possible_retry(self, message: holders_pb2.ClaimRequest, held: Reserved) -> bool:
         if not message.first_attempt or self._marks.marked(message.request_key):
@@ -140,11 +149,13 @@
             await anyio.sleep(RECOVERY_LOOK_S)
         return True
 
-    def _check(self, message: holders_pb2.ClaimRequest, asked: Asked) -> Refusal | None:
+    def _check(
+        self, message: holders_pb2.ClaimRequest, query_result: RetryQueryResult
+    ) -> Refusal | None:
         if message.deadline_unix_s <= self._context.now_s():
             return refusals.DEADLINE_PASSED.refuse(NOT_RUN)
-        if asked.unsure and not message.may_repeat:
-            return refusals.RETRY_UNSURE.refuse(RUN_UNKNOWN, ', '.join(asked.unsure))
+        if query_result.unsure and not message.may_repeat:
+            return refusals.RETRY_UNSURE.refuse(RUN_UNKNOWN, ', '.join(query_result.unsure))
         if self._table.full():
             return refusals.TOO_MANY_RECORDS.refuse(NOT_RUN)
         return None
@@ -169,10 +180,13 @@
         return entry.record.epoch >= record.epoch and entry.record.attempt >= record.attempt
 
     def _tell_known(
-        self, record: holders_pb2.Record, message: holders_pb2.ClaimRequest, asked: Asked
+        self,
+        record: holders_pb2.Record,
+        message: holders_pb2.ClaimRequest,
+        query_result: RetryQueryResult,
     ) -> holders_pb2.ClaimReply | None:
         if record.digest != message.digest:
-            sure = not asked.unsure and self._context.budgets.recovered(message.account)
+            sure = not query_result.unsure and self._context.budgets.recovered(message.account)
             refusal = refusals.IDEMPOTENCY_CONFLICT.refuse(NOT_RUN if sure else RUN_UNKNOWN)
             return refusals.to_reply(refusal)
         if record.data_centre == self._context.identity.data_centre:
@@ -192,7 +206,7 @@
         )
 
     def _grant(
-        self, pending: Pending, reserved: Reserved, asked: Asked
+        self, pending: Pending, reserved: Reserved, query_result: RetryQueryResult
     ) -> holders_pb2.ClaimReply | None:
         message = pending.message
         if self._seals.sealed(reserved.shard, reserved.data_centre, reserved.epoch):
@@ -206,7 +220,7 @@
                 return self._lead_to(pending.yield_to, message)
             return None
         previous = self._table.find(message.request_key)
-        record = self._record(message, reserved, asked, previous)
+        record = self._record(message, reserved, query_result, previous)
         entry = self._table.add(record)
         entry.owner = message.call_id
         entry.calls = frozenset((message.call_id,))
@@ -218,7 +232,7 @@
         self,
         message: holders_pb2.ClaimRequest,
         reserved: Reserved,
-        asked: Asked,
+        query_result: RetryQueryResult,
         previous: Entry | None,
     ) -> holders_pb2.Record:
         record = holders_pb2.Record(
@@ -236,8 +250,8 @@
             router=message.router,
             claimed_unix_s=self._context.now_s(),
             deadline_unix_s=message.deadline_unix_s,
-            provisional=bool(asked.unsure),
-            unasked=asked.unsure,
+            provisional=bool(query_result.unsure),
+            unasked=query_result.unsure,
         )
         if previous is not None:
             # Attempts are counted on, so that a late chunk of one that was
@@ -247,7 +261,7 @@
         append(record, *self._table.refused.take(message.request_key))
         append(record, self._stepper.step('claimed', record.attempt, message.router))
         if record.provisional:
-            PROVISIONAL.log(request_key=record.request_key, unasked=list(asked.unsure))
+            PROVISIONAL.log(request_key=record.request_key, unasked=list(query_result.unsure))
         return record
 
 
--- a/packages/fleet/src/endivesaddle/fleet/requests/adopting.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/record_merger.py
@@ -8,7 +8,7 @@
 _ORDER = (states.REFUSED, states.CLAIMED, states.DISPATCHED, states.UNKNOWN, states.ENDED)
 
 
-class Adopter:
+class RecordMerger:
     """Merges reports of routers and sidecars into the table."""
 
     def __init__(self, table: Table, settler: Settler) -> None:
@@ -16,7 +16,7 @@
         self._table = table
         self._settler = settler
 
-    def take_in(self, record: holders_pb2.Record) -> None:
+    def merge(self, record: holders_pb2.Record) -> None:
         """Take in one record; several instances may report the same request."""
         entry = self._table.find(record.request_key)
         if entry is not None and _overtaken(entry, record):
@@ -30,12 +30,12 @@
             entry.elsewhere = True
 
     def _replace(self, entry: Entry | None, record: holders_pb2.Record) -> None:
-        adopted = self._settler.take_in(record)
+        merged = self._settler.take_in(record)
         if entry is not None:
-            adopted.calls = entry.calls
-            adopted.owner = entry.owner
+            merged.calls = entry.calls
+            merged.owner = entry.owner
         if record.state == states.ENDED:
-            self._settler.finish(adopted, record.used_tokens, 'reported under a sealed epoch')
+            self._settler.finish(merged, record.used_tokens, 'reported under a sealed epoch')
 
 
 def _overtaken(entry: Entry, record: holders_pb2.Record) -> bool:
--- a/packages/fleet/src/endivesaddle/fleet/requests/asking.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/retry_queries.py
@@ -13,7 +13,7 @@
 """How often a question is sent on to another holder of the same data centre."""
 
 
-class Asked(NamedTuple):
+class RetryQueryResult(NamedTuple):
     """What the other data centres said.
 
     ``known`` is the record of a run or claim elsewhere; ``yield_to`` the data
@@ -26,50 +26,50 @@
     unsure: tuple[str, ...] = ()
 
 
-class Asker:
+class RetryQuerier:
     """Asks the holders of an account in other data centres about a request."""
 
     def __init__(self, context: Context) -> None:
         """Ask in the name of one instance."""
         self._context = context
 
-    async def ask_all(self, claim: holders_pb2.ClaimRequest, epoch: int) -> Asked:
+    async def query_all(self, claim: holders_pb2.ClaimRequest, epoch: int) -> RetryQueryResult:
         """Ask all other data centres at once, before a claim is granted."""
         others = self._context.other_data_centres()
-        question = holders_pb2.AskRequest(
+        query = holders_pb2.AskRequest(
             request_key=claim.request_key,
             account=claim.account,
             digest=claim.digest,
             epoch=epoch,
             call_id=claim.call_id,
         )
-        return _summary(claim.digest, others, await self.ask_each(question, others))
+        return _summary(claim.digest, others, await self.query_each(query, others))
 
-    async def ask_each(
-        self, question: holders_pb2.AskRequest, data_centres: list[str]
+    async def query_each(
+        self, query: holders_pb2.AskRequest, data_centres: list[str]
     ) -> dict[str, holders_pb2.AskReply]:
         """Ask some data centres at once; one that can't be asked is left out."""
-        question.data_centre = self._context.identity.data_centre
-        question.mark_until_unix_s = self._context.now_s() + self._context.settings.mark_s
+        query.data_centre = self._context.identity.data_centre
+        query.mark_until_unix_s = self._context.now_s() + self._context.settings.mark_s
         replies: dict[str, holders_pb2.AskReply] = {}
         async with anyio.create_task_group() as group:
             for name in data_centres:
-                group.start_soon(self._ask_into, replies, name, question)
+                group.start_soon(self._query_into, replies, name, query)
         return replies
 
-    async def _ask_into(
+    async def _query_into(
         self,
         replies: dict[str, holders_pb2.AskReply],
         data_centre: str,
-        question: holders_pb2.AskRequest,
+        query: holders_pb2.AskRequest,
     ) -> None:
         deadline_unix_s = self._context.now_s() + self._context.settings.ask_s
-        address = self._context.budgets.holder_address(question.account, data_centre)
+        address = self._context.budgets.holder_address(query.account, data_centre)
         for _ in range(HOPS):
             if not address:
                 return
             try:
-                reply = await self._context.peers.call(address, rpcs.ASK, question, deadline_unix_s)
+                reply = await self._context.peers.call(address, rpcs.ASK, query, deadline_unix_s)
             except (PeerUnreachable, PeerSilent, PeerRefused):
                 return
             if reply.verdict != states.NOT_HOLDER:
@@ -90,7 +90,7 @@
 
 def _summary(
     digest: str, data_centres: list[str], replies: dict[str, holders_pb2.AskReply]
-) -> Asked:
+) -> RetryQueryResult:
     known = [
         (name, reply.record)
         for name, reply in replies.items()
@@ -101,7 +101,7 @@
     known.sort(key=lambda found: (found[1].digest != digest, found[0] != found[1].data_centre))
     yields = [name for name, reply in replies.items() if reply.verdict == states.YIELD]
     certain = {name for name, reply in replies.items() if reply.verdict != states.UNSURE}
-    return Asked(
+    return RetryQueryResult(
         known=known[0][1] if known else None,
         yield_to=yields[0] if yields else '',
         unsure=tuple(name for name in data_centres if name not in certain),
--- a/packages/fleet/src/endivesaddle/fleet/requests/questions.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/retry_query_handler.py
@@ -10,7 +10,7 @@
 from endivesaddle.wire import holders_pb2
 
 
-class Questions:
+class RetryQueryHandler:
     """Tells what is known of a request here, and plants a mark where nothing is."""
 
     def __init__(
--- a/packages/fleet/src/endivesaddle/fleet/requests/sweeping.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/sweeping.py
@@ -6,13 +6,13 @@
 
 from endivesaddle.fleet.errors import PeerRefused, PeerSilent, PeerUnreachable
 from endivesaddle.fleet.requests import states
-from endivesaddle.fleet.requests.asking import Asker
 from endivesaddle.fleet.requests.background import Background
 from endivesaddle.fleet.requests.context import Context
 from endivesaddle.fleet.requests.copies import Copies
 from endivesaddle.fleet.requests.deciding import goes_first
 from endivesaddle.fleet.requests.events import RESOLVED
 from endivesaddle.fleet.requests.retry_marks import RetryMarks
+from endivesaddle.fleet.requests.retry_queries import RetryQuerier
 from endivesaddle.fleet.requests.settling import Settler
 from endivesaddle.fleet.requests.steps import Stepper, append, has_step
 from endivesaddle.fleet.requests.table import Entry, Table
@@ -27,13 +27,15 @@
 class Sweeper:
     """Looks at each claim when its stored deadline has come."""
 
-    def __init__(self, context: Context, table: Table, settler: Settler, asker: Asker) -> None:
+    def __init__(
+        self, context: Context, table: Table, settler: Settler, retry_querier: RetryQuerier
+    ) -> None:
         """Sweep the table of one holder."""
         self.started_unix_s = 0.0
         self._context = context
         self._table = table
         self._settler = settler
-        self._asker = asker
+        self._retry_querier = retry_querier
         self._stepper = Stepper(context.identity, context.clock)
         self._background = Background()
 
@@ -168,14 +170,14 @@
         """Ask the data centres that could not be asked before a provisional run."""
         record = entry.record
         own = self._context.identity.data_centre
-        question = holders_pb2.AskRequest(
+        query = holders_pb2.AskRequest(
             request_key=record.request_key,
             account=record.account,
             digest=record.digest,
             epoch=record.epoch,
         )
         others = [name for name in record.unasked if name != own]
-        replies = await self._asker.ask_each(question, others)
+        replies = await self._retry_querier.query_each(query, others)
         if entry.billed:
             return
         remaining = [name for name in record.unasked if not self._answered(record, name, replies)]
--- a/tools/mutate.py
+++ b/tools/mutate.py
@@ -21,9 +21,9 @@
 from endivesaddle.fleet.budgets.ledger import Ledger
 from endivesaddle.fleet.budgets.shard_manager import ShardManager
 from endivesaddle.fleet.registry import Registry
-from endivesaddle.fleet.requests.asking import Asked, Asker
 from endivesaddle.fleet.requests.following import Follower
 from endivesaddle.fleet.requests.retry_marks import RetryMarks
+from endivesaddle.fleet.requests.retry_queries import RetryQuerier, RetryQueryResult
 from endivesaddle.fleet.requests.table import Entry
 from endivesaddle.fleet.runs.drain import Drain
 from endivesaddle.fleet.runs.runs import Runs
@@ -71,11 +71,12 @@
 def ask_others() -> Safeguard:
     """Take it that no other data centre knows the request."""
 
-    async def nobody(*_: Any) -> Asked:
-        return Asked()
+    async def nobody(*_: Any) -> RetryQueryResult:
+        return RetryQueryResult()
 
     return Safeguard(
-        (Instead(Asker, 'ask_all', nobody),), ('router dies / ', 'caller retries elsewhere / ')
+        (Instead(RetryQuerier, 'query_all', nobody),),
+        ('router dies / ', 'caller retries elsewhere / '),
     )
 
 
