--- a/features/subjects/fault_promises.py
+++ b/features/subjects/fault_promises.py
@@ -136,7 +136,7 @@
         router = scene.fleet.router(name)
         if isinstance(router.budgets.held(ACCOUNT), NotHolder):
             continue
-        record = router.claims.look(REQUEST_KEY)
+        record = router.claims.find_record(REQUEST_KEY)
         if record is not None and record.state not in {'ended', 'refused'}:
             yield f'{name} still has it {record.state}'
 
--- a/features/subjects/requests_holder_plays.py
+++ b/features/subjects/requests_holder_plays.py
@@ -72,7 +72,7 @@
         group.start_soon(note, 'sidecar-A')
         group.start_soon(note, 'sidecar-B')
     again = await claims.note(note_of(2, 'sidecar-B'))
-    copy = fleet.routers['router-b1'].claims.copied(KEY)
+    copy = fleet.routers['router-b1'].claims.find_copy(KEY)
     fleet.notes['accepted'] = len(accepted)
     fleet.notes['copies of what was accepted'] = int(
         copy is not None and [copy.sidecar] == accepted
--- a/features/subjects/requests_plays_holders.py
+++ b/features/subjects/requests_plays_holders.py
@@ -81,7 +81,7 @@
     fleet.net.part({'router-a1'}, {'router-a2', 'sidecar-A'})
     await anyio.sleep(10)
     fleet.notes['billed while parted'] = len(fleet.ledger.bills)
-    copies = [router.claims.copied(KEY) for router in fleet.routers.values()]
+    copies = [router.claims.find_copy(KEY) for router in fleet.routers.values()]
     fleet.notes['copies of the outcome'] = sum(
         copy is not None and copy.state == 'ended' for copy in copies
     )
--- a/packages/fleet/src/endivesaddle/fleet/requests/answering.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/answering.py
@@ -4,8 +4,8 @@
 from typing import NamedTuple
 
 from endivesaddle.fleet.requests import refusals, states
-from endivesaddle.fleet.requests.background import Background
-from endivesaddle.fleet.requests.calls import Call, Placed
+from endivesaddle.fleet.requests.background import BackgroundTasks
+from endivesaddle.fleet.requests.calls import Call, Placement
 from endivesaddle.fleet.requests.context import Context
 from endivesaddle.fleet.requests.errors import RunForgotten, RunLost
 from endivesaddle.fleet.requests.finishing import Finisher
@@ -28,7 +28,7 @@
     """Holds an answer back while it may yet have to be started again."""
 
     def __init__(
-        self, context: Context, routing: Routing, finisher: Finisher, background: Background
+        self, context: Context, routing: Routing, finisher: Finisher, background: BackgroundTasks
     ) -> None:
         """Settle through ``finisher``; follow up callers who left in ``background``."""
         self._context = context
@@ -36,12 +36,12 @@
         self._finisher = finisher
         self._background = background
 
-    async def answer(self, call: Call, placed: Placed) -> Answer | Refusal | runs_pb2.End:
+    async def answer(self, call: Call, placement: Placement) -> Answer | Refusal | runs_pb2.End:
         """Return the answer, or the end of a run that gave the caller nothing.
 
         A run whose sidecar is lost is an end whose outcome is unknown.
         """
-        follower = Follower(self._context, call.request, placed)
+        follower = Follower(self._context, call.request, placement)
         pieces = follower.pieces()
         try:
             first = await self._first(call, follower, pieces)
@@ -116,7 +116,7 @@
 def _answer(begun: Begun, chunks: AsyncIterator[bytes]) -> Answer:
     head = begun.follower.head or runs_pb2.Head()
     headers = tuple((header.name, header.value) for header in head.headers)
-    return Answer(head.status, headers, chunks, begun.follower.placed.attempt)
+    return Answer(head.status, headers, chunks, begun.follower.placement.attempt)
 
 
 async def _once(whole: bytes) -> AsyncIterator[bytes]:
--- a/packages/fleet/src/endivesaddle/fleet/requests/background.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/background.py
@@ -11,7 +11,7 @@
 Work = Callable[..., Awaitable[None]]
 
 
-class Background:
+class BackgroundTasks:
     """Start tasks in the instance's own task group, never in that of a call.
 
     A call is cancelled when its link breaks; what it began must not be.
--- a/packages/fleet/src/endivesaddle/fleet/requests/call_executor.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/call_executor.py
@@ -4,13 +4,13 @@
 
 from endivesaddle.fleet.requests import refusals, states
 from endivesaddle.fleet.requests.answering import Answering
-from endivesaddle.fleet.requests.calls import Call, Placed
+from endivesaddle.fleet.requests.calls import Call, Placement
 from endivesaddle.fleet.requests.context import Context
 from endivesaddle.fleet.requests.events import OUTCOME_UNKNOWN, SIDECAR_LOST
 from endivesaddle.fleet.requests.finishing import Finisher
 from endivesaddle.fleet.requests.holder_client import HolderClient
 from endivesaddle.fleet.requests.starting import Start, Starter
-from endivesaddle.fleet.requests.steps import Stepper
+from endivesaddle.fleet.requests.steps import StepFactory
 from endivesaddle.fleet.seams import Answer, Choice, Routing
 from endivesaddle.fleet.sentinels import HAS_RUN, NOT_RUN, RUN_UNKNOWN, Refusal
 from endivesaddle.wire import holders_pb2, runs_pb2
@@ -38,7 +38,7 @@
         self._finisher = finisher
         self._answering = answering
         self._starter = Starter(context)
-        self._stepper = Stepper(context.identity, context.clock)
+        self._step_factory = StepFactory(context.identity, context.clock)
 
     async def execute(self, call: Call) -> Answer | Refusal:
         """Return the whole answer, or a refusal that is true."""
@@ -48,9 +48,9 @@
                 return self._true(call, reply)
             call.record = reply.record
             call.owner = reply.verdict == states.GRANTED
-            came_to = await self._go_on(call)
-            if came_to is not None:
-                return came_to
+            result = await self._go_on(call)
+            if result is not None:
+                return result
             if self._context.now_s() >= call.request.deadline_unix_s:
                 return await self._give_up(call, refusals.DEADLINE_PASSED.refuse(NOT_RUN))
             await anyio.sleep(self._context.settings.retry_pause_s)
@@ -69,8 +69,8 @@
 
     async def _look_once_more(self, call: Call) -> Answer | Refusal:
         """Follow a run that was given up: it may have gone on and be in reach again."""
-        came_to = await self._answering.answer(call, call.placed())
-        return _ended(call.record) if isinstance(came_to, runs_pb2.End) else came_to
+        result = await self._answering.answer(call, call.placement())
+        return _ended(call.record) if isinstance(result, runs_pb2.End) else result
 
     def _is_stale(self, record: holders_pb2.Record) -> bool:
         """Tell whether the router that claimed seems to be gone; a guess does no harm."""
@@ -79,17 +79,17 @@
         return waited_s >= self._context.settings.takeover_s or record.router not in addresses
 
     async def _attach(self, call: Call) -> Answer | Refusal | None:
-        placed = call.placed()
+        placement = call.placement()
         if call.record.state == states.ENDED:
             # A start would run it again where the sidecar has forgotten it.
-            return await self._follow(call, placed)
-        if placed.attempt in call.withdrawn:
+            return await self._follow(call, placement)
+        if placement.attempt in call.withdrawn:
             return None
-        if call.request.may_repeat or placed.incarnation:
-            return await self._run(call, placed, own=False)
+        if call.request.may_repeat or placement.incarnation:
+            return await self._run(call, placement, own=False)
         # Without its incarnation a sidecar may have been restarted: a START could
         # run a second time what may not be repeated.
-        return await self._follow(call, placed)
+        return await self._follow(call, placement)
 
     async def _place(self, call: Call) -> Answer | Refusal | None:
         """Choose a backend server and dispatch the next attempt to it."""
@@ -99,11 +99,11 @@
         if isinstance(choice, Refusal):
             return await self._give_up(call, choice)
         call.choice = choice
-        placed = self._placed(call, choice)
-        reason = await self._dispatch(call, placed)
+        placement = self._placement(call, choice)
+        reason = await self._dispatch(call, placement)
         if not reason:
             call.tries += 1
-            return await self._run(call, placed, own=True)
+            return await self._run(call, placement, own=True)
         self._answering.release(call, ok=True)
         if reason == states.NO_COPY:
             return await self._give_up(call, refusals.NO_COPY.refuse(NOT_RUN))
@@ -124,32 +124,32 @@
             choice = await self._routing.admit(call.want(), frozenset(call.excluded))
         return choice
 
-    def _placed(self, call: Call, choice: Choice) -> Placed:
+    def _placement(self, call: Call, choice: Choice) -> Placement:
         incarnations = {
             member.address: member.incarnation for member in self._context.view.members('sidecar')
         }
         incarnation = incarnations.get(choice.sidecar, 0)
-        return Placed(call.record.attempt + 1, choice.server, choice.sidecar, incarnation)
+        return Placement(call.record.attempt + 1, choice.server, choice.sidecar, incarnation)
 
-    async def _dispatch(self, call: Call, placed: Placed) -> str:
-        step = self._stepper.step(states.DISPATCHED, placed.attempt, placed.server)
+    async def _dispatch(self, call: Call, placement: Placement) -> str:
+        step = self._step_factory.step(states.DISPATCHED, placement.attempt, placement.server)
         reason = await self._holder_client.note(
             call,
             holders_pb2.NoteRequest(
                 request_key=call.request.key,
                 account=call.request.account,
                 state=states.DISPATCHED,
-                attempt=placed.attempt,
-                server=placed.server,
-                sidecar=placed.sidecar,
-                sidecar_incarnation=placed.incarnation,
+                attempt=placement.attempt,
+                server=placement.server,
+                sidecar=placement.sidecar,
+                sidecar_incarnation=placement.incarnation,
                 steps=[step],
                 epoch=call.record.epoch,
                 call_id=call.call_id,
             ),
         )
         if not reason:
-            _note_dispatch(call.record, placed, step)
+            _note_dispatch(call.record, placement, step)
         return reason
 
     async def _withdraw(self, call: Call, step_name: str, detail: str) -> str:
@@ -162,35 +162,35 @@
                 account=call.request.account,
                 state=states.CLAIMED,
                 attempt=attempt,
-                steps=[self._stepper.step(step_name, attempt, detail)],
+                steps=[self._step_factory.step(step_name, attempt, detail)],
                 epoch=call.record.epoch,
                 call_id=call.call_id,
             ),
         )
 
-    async def _run(self, call: Call, placed: Placed, own: bool) -> Answer | Refusal | None:
+    async def _run(self, call: Call, placement: Placement, own: bool) -> Answer | Refusal | None:
         holder = self._holder_client.settling_address(call.record)
-        outcome = await self._starter.start(call, placed, holder, own)
+        outcome = await self._starter.start(call, placement, holder, own)
         if outcome.start is Start.RUNNING:
-            return await self._follow(call, placed._replace(attempt=outcome.attempt))
+            return await self._follow(call, placement._replace(attempt=outcome.attempt))
         if outcome.start is Start.NOT_RUN:
-            stopped = await self._stop(call, placed, outcome.reason)
-            return await self._elsewhere(call, placed, stopped, outcome.reason)
-        return await self._lost(call, placed, outcome.reason)
+            stopped = await self._stop(call, placement, outcome.reason)
+            return await self._elsewhere(call, placement, stopped, outcome.reason)
+        return await self._lost(call, placement, outcome.reason)
 
-    async def _stop(self, call: Call, placed: Placed, reason: str) -> bool:
+    async def _stop(self, call: Call, placement: Placement, reason: str) -> bool:
         # Another router may know of this dispatch and start it a moment later: a
         # request that may not be repeated would run here and elsewhere.
         if call.request.may_repeat:
             return True
-        return await self._starter.stop(call, placed, reason)
+        return await self._starter.stop(call, placement, reason)
 
     async def _elsewhere(
-        self, call: Call, placed: Placed, stopped: bool, reason: str
+        self, call: Call, placement: Placement, stopped: bool, reason: str
     ) -> Answer | Refusal | None:
         """Go to another server with an attempt that did not run; ``stopped``: nor will."""
         self._answering.release(call, ok=False)
-        call.passed_over.add(placed.server)
+        call.passed_over.add(placement.server)
         step_name = states.REFUSED_START if stopped else states.NEVER_SENT
         objection = await self._withdraw(call, step_name, reason)
         if objection:
@@ -198,19 +198,19 @@
         call.record.state = states.CLAIMED
         return await self._place(call)
 
-    async def _follow(self, call: Call, placed: Placed) -> Answer | Refusal | None:
+    async def _follow(self, call: Call, placement: Placement) -> Answer | Refusal | None:
         call.may_have_run = True
-        came_to = await self._answering.answer(call, placed)
-        if isinstance(came_to, runs_pb2.End):
-            return await self._failed(call, placed, came_to)
-        return came_to
+        result = await self._answering.answer(call, placement)
+        if isinstance(result, runs_pb2.End):
+            return await self._failed(call, placement, result)
+        return result
 
     async def _failed(
-        self, call: Call, placed: Placed, end: runs_pb2.End
+        self, call: Call, placement: Placement, end: runs_pb2.End
     ) -> Answer | Refusal | None:
         """Go on after a run that gave the caller nothing."""
         if end.not_run:
-            return await self._elsewhere(call, placed, stopped=True, reason=end.reason)
+            return await self._elsewhere(call, placement, stopped=True, reason=end.reason)
         if end.outcome == states.CANCELLED:
             self._answering.release(call, ok=True)
             await self._finisher.settle(call, states.CANCELLED, end.used_tokens)
@@ -218,17 +218,17 @@
             if self._context.now_s() >= call.request.deadline_unix_s:
                 kind = refusals.DEADLINE_PASSED
             return kind.refuse(HAS_RUN)
-        return await self._lost(call, placed, end.reason, end)
+        return await self._lost(call, placement, end.reason, end)
 
     async def _lost(
-        self, call: Call, placed: Placed, reason: str, end: runs_pb2.End | None = None
+        self, call: Call, placement: Placement, reason: str, end: runs_pb2.End | None = None
     ) -> Answer | Refusal | None:
         """Go on after an attempt that may have run: once more where that is allowed."""
-        SIDECAR_LOST.log(request_key=call.request.key, server=placed.server, reason=reason)
+        SIDECAR_LOST.log(request_key=call.request.key, server=placement.server, reason=reason)
         call.may_have_run = True
-        call.excluded.add(placed.server)
+        call.excluded.add(placement.server)
         self._answering.release(call, ok=False)
-        call.steps.append(self._stepper.step(states.LOST, placed.attempt, reason))
+        call.steps.append(self._step_factory.step(states.LOST, placement.attempt, reason))
         if self._may_try_again(call):
             return await self._place(call)
         if end is not None and end.outcome == states.FAILED:
@@ -249,7 +249,7 @@
     async def _give_up(self, call: Call, refusal: Refusal) -> Refusal:
         """Refuse, and give the reservation back where nothing ran under it."""
         detail = f'{refusal.code}: {refusal.reason}'
-        call.steps.append(self._stepper.step(states.TOLD, call.record.attempt, detail))
+        call.steps.append(self._step_factory.step(states.TOLD, call.record.attempt, detail))
         if call.may_have_run:
             if call.record.state != states.CLAIMED:
                 await self._finisher.settle(call, states.UNKNOWN, 0)
@@ -263,12 +263,14 @@
         return refusals.weaken(refusal, RUN_UNKNOWN) if uncertain else refusal
 
 
-def _note_dispatch(record: holders_pb2.Record, placed: Placed, step: holders_pb2.Step) -> None:
+def _note_dispatch(
+    record: holders_pb2.Record, placement: Placement, step: holders_pb2.Step
+) -> None:
     record.state = states.DISPATCHED
-    record.attempt = placed.attempt
-    record.server = placed.server
-    record.sidecar = placed.sidecar
-    record.sidecar_incarnation = placed.incarnation
+    record.attempt = placement.attempt
+    record.server = placement.server
+    record.sidecar = placement.sidecar
+    record.sidecar_incarnation = placement.incarnation
     record.steps.append(step)
 
 
--- a/packages/fleet/src/endivesaddle/fleet/requests/calls.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/calls.py
@@ -11,7 +11,7 @@
 SERVICE = 'service'
 
 
-class Placed(NamedTuple):
+class Placement(NamedTuple):
     """An attempt at the sidecar that was chosen for it."""
 
     attempt: int
@@ -66,10 +66,10 @@
             return f'service {request.service} {request.method} {request.path}'
         return request.model
 
-    def placed(self) -> Placed:
+    def placement(self) -> Placement:
         """Return the attempt that the record names."""
         record = self.record
-        return Placed(record.attempt, record.server, record.sidecar, record.sidecar_incarnation)
+        return Placement(record.attempt, record.server, record.sidecar, record.sidecar_incarnation)
 
     def want(self) -> Want:
         """Return what the request wants of a backend server."""
--- a/packages/fleet/src/endivesaddle/fleet/requests/claims.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/claims.py
@@ -117,7 +117,7 @@
     async def find(self, message: holders_pb2.FindRequest) -> holders_pb2.FindReply:
         """Look through the table and the copies kept for others."""
         refused = self._table.refused
-        own = [refused.put_to(entry.record) for entry in self._table]
+        own = [refused.with_refusals(entry.record) for entry in self._table]
         alone = [
             record for record in refused.records() if self._table.find(record.request_key) is None
         ]
@@ -145,11 +145,11 @@
                 self._record_merger.merge(record)
         self._counters.add('adopted', len(records))
 
-    def copied(self, request_key: str) -> holders_pb2.Record | None:
+    def find_copy(self, request_key: str) -> holders_pb2.Record | None:
         """Return the copy of a record that is kept here for another instance."""
         return self._copies.find(request_key)
 
-    def look(self, request_key: str) -> holders_pb2.Record | None:
+    def find_record(self, request_key: str) -> holders_pb2.Record | None:
         """Return what is known of a request here as its holder."""
         entry = self._table.find(request_key)
         return None if entry is None else entry.record
--- a/packages/fleet/src/endivesaddle/fleet/requests/deciding.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/deciding.py
@@ -10,7 +10,7 @@
 from endivesaddle.fleet.requests.retry_marks import RetryMarks
 from endivesaddle.fleet.requests.retry_queries import RetryQuerier, RetryQueryResult
 from endivesaddle.fleet.requests.sealed_epochs import SealedEpochs
-from endivesaddle.fleet.requests.steps import Stepper, append
+from endivesaddle.fleet.requests.steps import StepFactory, append
 from endivesaddle.fleet.requests.table import Entry, Table
 from endivesaddle.fleet.seams import Reserved
 from endivesaddle.fleet.sentinels import NOT_RUN, RUN_UNKNOWN, NotHolder, Refusal
@@ -69,7 +69,7 @@
         self._retry_querier = retry_querier
         self._table = table
         self._marks = marks
-        self._stepper = Stepper(context.identity, context.clock)
+        self._step_factory = StepFactory(context.identity, context.clock)
 
     async def decide(self, pending: Pending) -> holders_pb2.ClaimReply | None:
         """Return the reply, or None where the claim became known meanwhile."""
@@ -259,7 +259,7 @@
             record.attempt = previous.record.attempt
             append(record, *previous.record.steps)
         append(record, *self._table.refused.take(message.request_key))
-        append(record, self._stepper.step('claimed', record.attempt, message.router))
+        append(record, self._step_factory.step('claimed', record.attempt, message.router))
         if record.provisional:
             PROVISIONAL.log(request_key=record.request_key, unasked=list(query_result.unsure))
         return record
--- a/packages/fleet/src/endivesaddle/fleet/requests/finishing.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/finishing.py
@@ -4,12 +4,12 @@
 
 from endivesaddle.fleet.errors import PeerRefused, PeerSilent, PeerUnreachable
 from endivesaddle.fleet.requests import states
-from endivesaddle.fleet.requests.background import Background
+from endivesaddle.fleet.requests.background import BackgroundTasks
 from endivesaddle.fleet.requests.calls import Call
 from endivesaddle.fleet.requests.context import Context
 from endivesaddle.fleet.requests.events import SETTLE_DELAYED, SETTLE_GIVEN_UP
 from endivesaddle.fleet.requests.holder_client import HolderClient
-from endivesaddle.fleet.requests.steps import Stepper, append
+from endivesaddle.fleet.requests.steps import StepFactory, append
 from endivesaddle.wire import holders_pb2, rpcs, runs_pb2
 
 MAX_UNSETTLED = 4096
@@ -20,14 +20,14 @@
     """Settles what a call came to, at its holder or in safe keeping until then."""
 
     def __init__(
-        self, context: Context, holder_client: HolderClient, background: Background
+        self, context: Context, holder_client: HolderClient, background: BackgroundTasks
     ) -> None:
         """Settle in the name of one router."""
         self.unsettled = 0
         self._context = context
         self._holder_client = holder_client
         self._background = background
-        self._stepper = Stepper(context.identity, context.clock)
+        self._step_factory = StepFactory(context.identity, context.clock)
 
     async def settle(self, call: Call, outcome: str, used_tokens: int) -> None:
         """Bring an outcome onto a second instance; the sidecar has it already.
@@ -35,7 +35,7 @@
         Where the holder can't be reached, any other router keeps a copy, and the
         holder is tried again in the background.
         """
-        call.steps.append(self._stepper.step('relayed', call.record.attempt, outcome))
+        call.steps.append(self._step_factory.step('relayed', call.record.attempt, outcome))
         message = self._message(call, outcome, used_tokens)
         if await self._try(message):
             return
@@ -88,7 +88,7 @@
         call.record.state = states.CLAIMED
 
     async def _note_left(self, call: Call) -> bool:
-        step = self._stepper.step(states.LEFT, call.record.attempt)
+        step = self._step_factory.step(states.LEFT, call.record.attempt)
         message = holders_pb2.NoteRequest(
             request_key=call.request.key,
             account=call.request.account,
--- a/packages/fleet/src/endivesaddle/fleet/requests/front.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/front.py
@@ -7,7 +7,7 @@
 from endivesaddle.fleet.identity import Identity
 from endivesaddle.fleet.ports import FleetView, Peers
 from endivesaddle.fleet.requests.answering import Answering
-from endivesaddle.fleet.requests.background import Background
+from endivesaddle.fleet.requests.background import BackgroundTasks
 from endivesaddle.fleet.requests.call_executor import CallExecutor
 from endivesaddle.fleet.requests.calls import Call
 from endivesaddle.fleet.requests.context import Context
@@ -33,7 +33,7 @@
         clock: Clock,
     ) -> None:
         """Serve callers in the name of one router."""
-        self._background = Background()
+        self._background = BackgroundTasks()
         self._identity = identity
         self._counters = Counters()
         self._calls: dict[str, Call] = {}
@@ -54,15 +54,15 @@
         call = Call(request, self._identity.data_centre)
         self._calls[call.call_id] = call
         try:
-            came_to = await self._executor.execute(call)
+            result = await self._executor.execute(call)
         except asyncio.CancelledError:
             self._counters.add('abandoned')
             self._answering.abandon(call)
             raise
         finally:
             self._calls.pop(call.call_id)
-        self._count(came_to)
-        return came_to
+        self._count(result)
+        return result
 
     def dump(self) -> dict[str, Any]:
         """Return the state for the dump of the process."""
@@ -87,8 +87,8 @@
             'unsettled': self._finisher.unsettled,
         }
 
-    def _count(self, came_to: Answer | Refusal) -> None:
-        if isinstance(came_to, Refusal):
-            self._counters.add(f'refused_{came_to.code}')
+    def _count(self, result: Answer | Refusal) -> None:
+        if isinstance(result, Refusal):
+            self._counters.add(f'refused_{result.code}')
         else:
             self._counters.add('answers')
--- a/packages/fleet/src/endivesaddle/fleet/requests/granting.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/granting.py
@@ -3,13 +3,13 @@
 import anyio
 
 from endivesaddle.fleet.requests import states
-from endivesaddle.fleet.requests.background import Background
+from endivesaddle.fleet.requests.background import BackgroundTasks
 from endivesaddle.fleet.requests.context import Context
 from endivesaddle.fleet.requests.counting import Counters
 from endivesaddle.fleet.requests.deciding import Decider, Pending
-from endivesaddle.fleet.requests.refused import refused_record
+from endivesaddle.fleet.requests.refused_claims import refused_record
 from endivesaddle.fleet.requests.settling import Settler
-from endivesaddle.fleet.requests.steps import Stepper, append
+from endivesaddle.fleet.requests.steps import StepFactory, append
 from endivesaddle.fleet.requests.table import Entry, Table
 from endivesaddle.fleet.sentinels import NotHolder
 from endivesaddle.wire import holders_pb2
@@ -33,8 +33,8 @@
         self._decider = decider
         self._settler = settler
         self._counters = counters
-        self._background = Background()
-        self._stepper = Stepper(context.identity, context.clock)
+        self._background = BackgroundTasks()
+        self._step_factory = StepFactory(context.identity, context.clock)
 
     async def run(self) -> None:
         """Carry out claims until cancelled."""
@@ -88,7 +88,7 @@
         granted = message.call_id == entry.owner and record.state == states.CLAIMED
         if entry.open and message.call_id not in entry.calls:
             entry.calls |= {message.call_id}
-            append(record, self._stepper.step('attached', record.attempt, message.router))
+            append(record, self._step_factory.step('attached', record.attempt, message.router))
             self._counters.add('attached')
         verdict = states.GRANTED if granted else states.KNOWN
         return holders_pb2.ClaimReply(verdict=verdict, record=record)
@@ -127,7 +127,7 @@
     def _remember(self, message: holders_pb2.ClaimRequest, reply: holders_pb2.ClaimReply) -> None:
         """Remember what a caller is told of a refused claim, which leaves no entry."""
         if reply.verdict == states.REFUSED:
-            step = self._stepper.step(states.TOLD, 0, f'{reply.code}: {reply.reason}')
+            step = self._step_factory.step(states.TOLD, 0, f'{reply.code}: {reply.reason}')
             data_centre = self._context.identity.data_centre
             self._table.refused.add(refused_record(message, reply, step, data_centre))
 
--- a/packages/fleet/src/endivesaddle/fleet/requests/refused.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/refused_claims.py
@@ -17,7 +17,7 @@
 """Refusals kept of one request that is retried again and again: the newest."""
 
 
-class RefusedRing:
+class RefusedClaims:
     """The newest refused claims by request key, packed."""
 
     def __init__(self, most: int) -> None:
@@ -48,7 +48,7 @@
         for packed in list(self._packed.values()):
             yield holders_pb2.Record.FromString(packed)
 
-    def put_to(self, record: holders_pb2.Record) -> holders_pb2.Record:
+    def with_refusals(self, record: holders_pb2.Record) -> holders_pb2.Record:
         """Return a record together with the refusals of the same request."""
         packed = self._packed.get(record.request_key)
         if packed is None:
--- a/packages/fleet/src/endivesaddle/fleet/requests/settling.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/settling.py
@@ -5,7 +5,7 @@
 from endivesaddle.fleet.requests import states
 from endivesaddle.fleet.requests.context import Context
 from endivesaddle.fleet.requests.events import CLOSED, LATE_ATTEMPT
-from endivesaddle.fleet.requests.steps import Stepper, append
+from endivesaddle.fleet.requests.steps import StepFactory, append
 from endivesaddle.fleet.requests.table import Entry, Table
 from endivesaddle.wire import holders_pb2
 
@@ -22,7 +22,7 @@
         """Settle claims of ``table``."""
         self._context = context
         self._table = table
-        self._stepper = Stepper(context.identity, context.clock)
+        self._step_factory = StepFactory(context.identity, context.clock)
         self._ended = ended
 
     def settle(self, entry: Entry, message: holders_pb2.SettleRequest) -> holders_pb2.SettleReply:
@@ -107,7 +107,7 @@
         record = entry.record
         record.ended_unix_s = self._context.now_s()
         record.used_tokens = used_tokens
-        append(record, self._stepper.step(record.state, record.attempt, detail))
+        append(record, self._step_factory.step(record.state, record.attempt, detail))
         if record.unasked and used_tokens:
             # Provisional: the tokens stay reserved until all data centres were
             # asked, so that the request is billed in one place only.
@@ -128,7 +128,7 @@
             record.account, record.request_key, record.epoch, used_tokens
         )
         entry.billed = True
-        append(record, self._stepper.step('settled', record.attempt, f'{record.used_tokens}'))
+        append(record, self._step_factory.step('settled', record.attempt, f'{record.used_tokens}'))
         self._table.look_again(record.request_key, self._table.due_unix_s(entry))
         self._ended(record)
 
--- a/packages/fleet/src/endivesaddle/fleet/requests/steps.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/steps.py
@@ -8,7 +8,7 @@
 """Steps kept in a record; a request that is retried without end stays bounded."""
 
 
-class Stepper:
+class StepFactory:
     """Make steps that name this instance and the time."""
 
     def __init__(self, identity: Identity, clock: Clock) -> None:
--- a/packages/fleet/src/endivesaddle/fleet/requests/sweeping.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/sweeping.py
@@ -6,7 +6,7 @@
 
 from endivesaddle.fleet.errors import PeerRefused, PeerSilent, PeerUnreachable
 from endivesaddle.fleet.requests import states
-from endivesaddle.fleet.requests.background import Background
+from endivesaddle.fleet.requests.background import BackgroundTasks
 from endivesaddle.fleet.requests.context import Context
 from endivesaddle.fleet.requests.copies import Copies
 from endivesaddle.fleet.requests.deciding import goes_first
@@ -14,7 +14,7 @@
 from endivesaddle.fleet.requests.retry_marks import RetryMarks
 from endivesaddle.fleet.requests.retry_queries import RetryQuerier
 from endivesaddle.fleet.requests.settling import Settler
-from endivesaddle.fleet.requests.steps import Stepper, append, has_step
+from endivesaddle.fleet.requests.steps import StepFactory, append, has_step
 from endivesaddle.fleet.requests.table import Entry, Table
 from endivesaddle.fleet.sentinels import NotHolder
 from endivesaddle.wire import holders_pb2, rpcs, runs_pb2
@@ -36,8 +36,8 @@
         self._table = table
         self._settler = settler
         self._retry_querier = retry_querier
-        self._stepper = Stepper(context.identity, context.clock)
-        self._background = Background()
+        self._step_factory = StepFactory(context.identity, context.clock)
+        self._background = BackgroundTasks()
 
     async def run(self, marks: RetryMarks, copies: Copies) -> None:
         """Sweep until cancelled."""
@@ -185,7 +185,7 @@
         record.ClearField('unasked')
         record.unasked.extend(remaining)
         if elsewhere or entry.elsewhere:
-            append(record, self._stepper.step(states.BILLED_ELSEWHERE, record.attempt))
+            append(record, self._step_factory.step(states.BILLED_ELSEWHERE, record.attempt))
             self._settler.bill(entry, 0)
         elif remaining:
             self._table.look_again(record.request_key, self._table.due_unix_s(entry))
--- a/packages/fleet/src/endivesaddle/fleet/requests/table.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/table.py
@@ -8,7 +8,7 @@
 
 from endivesaddle.fleet.clock import Clock
 from endivesaddle.fleet.requests import states
-from endivesaddle.fleet.requests.refused import RefusedRing
+from endivesaddle.fleet.requests.refused_claims import RefusedClaims
 from endivesaddle.fleet.requests.settings import RequestSettings
 from endivesaddle.wire import holders_pb2
 
@@ -122,7 +122,7 @@
         self._clock = clock
         self._entries: dict[str, Entry] = {}
         self._agenda: list[tuple[float, str]] = []
-        self.refused = RefusedRing(settings.refused_records)
+        self.refused = RefusedClaims(settings.refused_records)
 
     def __len__(self) -> int:
         """Return the number of entries."""
