--- a/packages/fleet/src/endivesaddle/fleet/requests/call_executor.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/call_executor.py
@@ -45,17 +45,17 @@
         while True:
             reply = await self._holder_client.claim(call)
             if isinstance(reply, Refusal):
-                return self._true(call, reply)
+                return self._weaken_if_uncertain(call, reply)
             call.record = reply.record
             call.owner = reply.verdict == states.GRANTED
-            result = await self._go_on(call)
+            result = await self._advance(call)
             if result is not None:
                 return result
             if self._context.now_s() >= call.request.deadline_unix_s:
                 return await self._give_up(call, refusals.DEADLINE_PASSED.refuse(NOT_RUN))
             await anyio.sleep(self._context.settings.retry_pause_s)
 
-    async def _go_on(self, call: Call) -> Answer | Refusal | None:
+    async def _advance(self, call: Call) -> Answer | Refusal | None:
         record = call.record
         if record.state == states.CLAIMED:
             if not (call.owner or self._is_stale(record)):
@@ -64,13 +64,13 @@
         if record.state == states.DISPATCHED or record.outcome == states.ANSWERED:
             return await self._attach(call)
         if record.state == states.UNKNOWN:
-            return await self._look_once_more(call)
-        return _ended(record)
+            return await self._follow_again(call)
+        return _refusal_of_ended(record)
 
-    async def _look_once_more(self, call: Call) -> Answer | Refusal:
+    async def _follow_again(self, call: Call) -> Answer | Refusal:
         """Follow a run that was given up: it may have gone on and be in reach again."""
         result = await self._answering.answer(call, call.placement())
-        return _ended(call.record) if isinstance(result, runs_pb2.End) else result
+        return _refusal_of_ended(call.record) if isinstance(result, runs_pb2.End) else result
 
     def _is_stale(self, record: holders_pb2.Record) -> bool:
         """Tell whether the router that claimed seems to be gone; a guess does no harm."""
@@ -149,7 +149,7 @@
             ),
         )
         if not reason:
-            _note_dispatch(call.record, placement, step)
+            _apply_dispatch(call.record, placement, step)
         return reason
 
     async def _withdraw(self, call: Call, step_name: str, detail: str) -> str:
@@ -175,8 +175,8 @@
             return await self._follow(call, placement._replace(attempt=outcome.attempt))
         if outcome.start is Start.NOT_RUN:
             stopped = await self._stop(call, placement, outcome.reason)
-            return await self._elsewhere(call, placement, stopped, outcome.reason)
-        return await self._lost(call, placement, outcome.reason)
+            return await self._try_other_server(call, placement, stopped, outcome.reason)
+        return await self._handle_lost(call, placement, outcome.reason)
 
     async def _stop(self, call: Call, placement: Placement, reason: str) -> bool:
         # Another router may know of this dispatch and start it a moment later: a
@@ -185,7 +185,7 @@
             return True
         return await self._starter.stop(call, placement, reason)
 
-    async def _elsewhere(
+    async def _try_other_server(
         self, call: Call, placement: Placement, stopped: bool, reason: str
     ) -> Answer | Refusal | None:
         """Go to another server with an attempt that did not run; ``stopped``: nor will."""
@@ -202,15 +202,15 @@
         call.may_have_run = True
         result = await self._answering.answer(call, placement)
         if isinstance(result, runs_pb2.End):
-            return await self._failed(call, placement, result)
+            return await self._handle_end(call, placement, result)
         return result
 
-    async def _failed(
+    async def _handle_end(
         self, call: Call, placement: Placement, end: runs_pb2.End
     ) -> Answer | Refusal | None:
         """Go on after a run that gave the caller nothing."""
         if end.not_run:
-            return await self._elsewhere(call, placement, stopped=True, reason=end.reason)
+            return await self._try_other_server(call, placement, stopped=True, reason=end.reason)
         if end.outcome == states.CANCELLED:
             self._answering.release(call, ok=True)
             await self._finisher.settle(call, states.CANCELLED, end.used_tokens)
@@ -218,9 +218,9 @@
             if self._context.now_s() >= call.request.deadline_unix_s:
                 kind = refusals.DEADLINE_PASSED
             return kind.refuse(HAS_RUN)
-        return await self._lost(call, placement, end.reason, end)
+        return await self._handle_lost(call, placement, end.reason, end)
 
-    async def _lost(
+    async def _handle_lost(
         self, call: Call, placement: Placement, reason: str, end: runs_pb2.End | None = None
     ) -> Answer | Refusal | None:
         """Go on after an attempt that may have run: once more where that is allowed."""
@@ -253,17 +253,17 @@
         if call.may_have_run:
             if call.record.state != states.CLAIMED:
                 await self._finisher.settle(call, states.UNKNOWN, 0)
-            return self._true(call, refusal)
+            return self._weaken_if_uncertain(call, refusal)
         if not await self._finisher.give_back(call, refusal.status):
             return refusals.weaken(refusal, RUN_UNKNOWN)
-        return self._true(call, refusal)
+        return self._weaken_if_uncertain(call, refusal)
 
-    def _true(self, call: Call, refusal: Refusal) -> Refusal:
+    def _weaken_if_uncertain(self, call: Call, refusal: Refusal) -> Refusal:
         uncertain = call.may_have_run or call.record.provisional
         return refusals.weaken(refusal, RUN_UNKNOWN) if uncertain else refusal
 
 
-def _note_dispatch(
+def _apply_dispatch(
     record: holders_pb2.Record, placement: Placement, step: holders_pb2.Step
 ) -> None:
     record.state = states.DISPATCHED
@@ -274,7 +274,7 @@
     record.steps.append(step)
 
 
-def _ended(record: holders_pb2.Record) -> Refusal:
+def _refusal_of_ended(record: holders_pb2.Record) -> Refusal:
     """Return what a retry hears of a request that ended without an answer."""
     if record.outcome == states.CANCELLED:
         return refusals.ANSWER_CANCELLED.refuse(HAS_RUN)
--- a/packages/fleet/src/endivesaddle/fleet/requests/claims.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/claims.py
@@ -111,7 +111,7 @@
             self._granter.leave(message)
             if not message.HasField('record'):
                 return holders_pb2.SettleReply(reason=states.NO_RECORD)
-            entry = self._settler.take_in(_reopened(message.record))
+            entry = self._settler.add_reported(_reopened(message.record))
         return self._settler.settle(entry, message)
 
     async def find(self, message: holders_pb2.FindRequest) -> holders_pb2.FindReply:
--- a/packages/fleet/src/endivesaddle/fleet/requests/copies.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/copies.py
@@ -65,7 +65,7 @@
             if forget_unix_s <= self._context.now_s():
                 self._kept.drop(record.request_key)
             else:
-                self._kept.look_again(record.request_key, forget_unix_s)
+                self._kept.schedule(record.request_key, forget_unix_s)
 
     async def keep_elsewhere(self, record: holders_pb2.Record) -> bool:
         """Have another instance keep a copy; False when none could.
--- a/packages/fleet/src/endivesaddle/fleet/requests/dispatching.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/dispatching.py
@@ -53,7 +53,7 @@
         if not reason:
             entry.withdrawn = frozenset()
             if record.state == states.DISPATCHED:
-                entry.give_up()
+                entry.mark_lost()
         if reason or record.may_repeat:
             return reason or _apply(record, message)
         draft = holders_pb2.Record()
@@ -126,7 +126,7 @@
     if _may_run(entry, message):
         if not record.may_repeat:
             return states.OTHERS_ATTACHED
-        entry.give_up()
+        entry.mark_lost()
     record.state = states.CLAIMED
     return ''
 
--- a/packages/fleet/src/endivesaddle/fleet/requests/record_merger.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/record_merger.py
@@ -27,10 +27,10 @@
         elif entry.record.epoch > record.epoch and _ran(record):
             # Granted anew before the report came: the older run was counted when
             # its epoch was sealed, and a request is billed once.
-            entry.elsewhere = True
+            entry.billed_elsewhere = True
 
     def _replace(self, entry: Entry | None, record: holders_pb2.Record) -> None:
-        merged = self._settler.take_in(record)
+        merged = self._settler.add_reported(record)
         if entry is not None:
             merged.calls = entry.calls
             merged.owner = entry.owner
--- a/packages/fleet/src/endivesaddle/fleet/requests/retry_marks.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/retry_marks.py
@@ -18,7 +18,7 @@
         """Start empty."""
         self._clock = clock
         self._until: dict[str, float] = {}
-        self._agenda: list[tuple[float, str]] = []
+        self._schedule: list[tuple[float, str]] = []
 
     def __len__(self) -> int:
         """Return the number of marks."""
@@ -29,7 +29,7 @@
         if until_unix_s <= self._until.get(request_key, 0):
             return
         self._until[request_key] = until_unix_s
-        heapq.heappush(self._agenda, (until_unix_s, request_key))
+        heapq.heappush(self._schedule, (until_unix_s, request_key))
 
     def marked(self, request_key: str) -> bool:
         """Tell whether a key is marked."""
@@ -38,7 +38,7 @@
     def sweep(self) -> None:
         """Forget marks whose deadline has passed."""
         now_unix_s = self._clock.now_s()
-        while self._agenda and self._agenda[0][0] <= now_unix_s:
-            request_key = heapq.heappop(self._agenda)[1]
+        while self._schedule and self._schedule[0][0] <= now_unix_s:
+            request_key = heapq.heappop(self._schedule)[1]
             if not self.marked(request_key):
                 self._until.pop(request_key, None)
--- a/packages/fleet/src/endivesaddle/fleet/requests/settling.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/settling.py
@@ -45,7 +45,7 @@
         self._end(entry, message.outcome, message.used_tokens)
         return _settled(record)
 
-    def take_in(self, record: holders_pb2.Record) -> Entry:
+    def add_reported(self, record: holders_pb2.Record) -> Entry:
         """Remember a claim of which another instance reports, ready to be settled.
 
         Failure: a provisional run is reported by its sidecar to a holder that has
@@ -86,7 +86,7 @@
         elif entry.may_have_run:
             settings = self._context.settings
             again_unix_s = self._context.now_s() + settings.unasked_every_s
-            self._table.look_again(record.request_key, again_unix_s)
+            self._table.schedule(record.request_key, again_unix_s)
         else:
             self.end_not_run(entry, 'not dispatched')
 
@@ -111,7 +111,7 @@
         if record.unasked and used_tokens:
             # Provisional: the tokens stay reserved until all data centres were
             # asked, so that the request is billed in one place only.
-            self._table.look_again(record.request_key, self._table.due_unix_s(entry))
+            self._table.schedule(record.request_key, self._table.due_unix_s(entry))
             return
         self.bill(entry, used_tokens)
 
@@ -129,7 +129,7 @@
         )
         entry.billed = True
         append(record, self._step_factory.step('settled', record.attempt, f'{record.used_tokens}'))
-        self._table.look_again(record.request_key, self._table.due_unix_s(entry))
+        self._table.schedule(record.request_key, self._table.due_unix_s(entry))
         self._ended(record)
 
     def _give_back(
@@ -157,7 +157,7 @@
         answered = message.outcome == states.ANSWERED and entry.record.state == states.CLAIMED
         if not answered or lost is None or lost.attempt != message.attempt:
             return False
-        entry.go_back(lost)
+        entry.restore_attempt(lost)
         return True
 
     def _failed(self, entry: Entry, message: holders_pb2.SettleRequest) -> holders_pb2.SettleReply:
@@ -179,7 +179,7 @@
         elif record.state != states.UNKNOWN:
             record.state = states.UNKNOWN
             record.outcome = states.UNKNOWN
-            self._table.look_again(record.request_key, self._table.due_unix_s(entry))
+            self._table.schedule(record.request_key, self._table.due_unix_s(entry))
         return _settled(record)
 
     def _note_usage(self, entry: Entry, message: holders_pb2.SettleRequest) -> None:
--- a/packages/fleet/src/endivesaddle/fleet/requests/sweeping.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/sweeping.py
@@ -49,9 +49,9 @@
                 marks.sweep()
                 copies.sweep()
                 for entry in self._table.due():
-                    self._look(entry)
+                    self._check(entry)
 
-    def _look(self, entry: Entry) -> None:
+    def _check(self, entry: Entry) -> None:
         record = entry.record
         if entry.billed:
             self._forget(entry)
@@ -62,7 +62,7 @@
         elif record.state == states.ENDED:
             self._background.start(self._resolve, entry)
         else:
-            self._look_at_run(entry)
+            self._check_run(entry)
 
     def _leave(self, entry: Entry) -> None:
         """Leave an open claim to whoever holds the shard now.
@@ -78,15 +78,15 @@
         if record.deadline_unix_s + kept_s < self._context.now_s():
             self._table.drop(record.request_key)
         else:
-            self._look_again_soon(record)
+            self._reschedule(record)
 
-    def _look_at_run(self, entry: Entry) -> None:
+    def _check_run(self, entry: Entry) -> None:
         record = entry.record
         if self._settler.reports_are_over(record) or self._is_replaced(record):
             self._close(entry)
         elif self._context.now_s() < record.deadline_unix_s:
             # Given up by its router, but the sidecar may still be running it.
-            self._look_again_soon(record)
+            self._reschedule(record)
         else:
             self._background.start(self._inquire, entry)
 
@@ -102,11 +102,11 @@
         if confirmed and budgets.recovered(record.account):
             self._settler.end_unreported(entry)
         else:
-            self._look_again_soon(record)
+            self._reschedule(record)
 
-    def _look_again_soon(self, record: holders_pb2.Record) -> None:
+    def _reschedule(self, record: holders_pb2.Record) -> None:
         again_unix_s = self._context.now_s() + self._context.settings.unasked_every_s
-        self._table.look_again(record.request_key, again_unix_s)
+        self._table.schedule(record.request_key, again_unix_s)
 
     def _is_replaced(self, record: holders_pb2.Record) -> bool:
         """Tell whether the sidecar was restarted: it has forgotten the run."""
@@ -126,7 +126,7 @@
         if due_unix_s <= self._context.now_s():
             self._table.drop(record.request_key)
         else:
-            self._table.look_again(record.request_key, due_unix_s)
+            self._table.schedule(record.request_key, due_unix_s)
 
     def _parted(self) -> bool:
         """Tell whether a data centre is out of view.
@@ -164,7 +164,7 @@
             record.state = states.CLAIMED
             self._settler.close_claimed(entry)
             return
-        self._look_again_soon(record)
+        self._reschedule(record)
 
     async def _resolve(self, entry: Entry) -> None:
         """Ask the data centres that could not be asked before a provisional run."""
@@ -184,11 +184,11 @@
         elsewhere = any(self._billed_there(record, reply.record) for reply in replies.values())
         record.ClearField('unasked')
         record.unasked.extend(remaining)
-        if elsewhere or entry.elsewhere:
+        if elsewhere or entry.billed_elsewhere:
             append(record, self._step_factory.step(states.BILLED_ELSEWHERE, record.attempt))
             self._settler.bill(entry, 0)
         elif remaining:
-            self._table.look_again(record.request_key, self._table.due_unix_s(entry))
+            self._table.schedule(record.request_key, self._table.due_unix_s(entry))
             return
         else:
             self._settler.bill(entry, record.used_tokens)
--- a/packages/fleet/src/endivesaddle/fleet/requests/table.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/table.py
@@ -32,7 +32,7 @@
     that was granted the claim, ``withdrawn`` those that will not start the attempt
     any more.  ``reported_tokens`` is the usage of an attempt that gave no answer; it
     is billed when no later attempt gives one.  ``lost`` is the last attempt that was
-    given up though it may have run.  ``elsewhere`` tells that an earlier run of it is
+    given up though it may have run.  ``billed_elsewhere`` tells that an earlier run of it is
     billed.  ``billed`` is set once the budget was settled.
     """
 
@@ -41,7 +41,7 @@
         'owner',
         'withdrawn',
         'reported_tokens',
-        'elsewhere',
+        'billed_elsewhere',
         'lost',
         'billed',
         '_lock',
@@ -57,7 +57,7 @@
         self.owner = ''
         self.withdrawn: frozenset[str] = frozenset()
         self.reported_tokens = -1
-        self.elsewhere = False
+        self.billed_elsewhere = False
         self.lost: Lost | None = None
         self.billed = record.state in {states.ENDED, states.REFUSED}
         self._lock: anyio.Lock | None = None
@@ -86,12 +86,12 @@
         """Tell whether an attempt that was given up may have run."""
         return self.lost is not None or self.reported_tokens >= 0
 
-    def give_up(self) -> None:
+    def mark_lost(self) -> None:
         """Remember the attempt that the record names as one that may have run."""
         record = self.record
         self.lost = Lost(record.attempt, record.server, record.sidecar, record.sidecar_incarnation)
 
-    def go_back(self, lost: Lost) -> None:
+    def restore_attempt(self, lost: Lost) -> None:
         """Name a given up attempt in the record again: it is the one that answered."""
         record = self.record
         record.attempt = lost.attempt
@@ -121,7 +121,7 @@
         self._settings = settings
         self._clock = clock
         self._entries: dict[str, Entry] = {}
-        self._agenda: list[tuple[float, str]] = []
+        self._schedule: list[tuple[float, str]] = []
         self.refused = RefusedClaims(settings.refused_records)
 
     def __len__(self) -> int:
@@ -151,7 +151,7 @@
             # As sidecars report it after a takeover: its end will be told by then.
             record.deadline_unix_s = self._clock.now_s() + self._settings.settle_until_s
         self._entries[record.request_key] = entry
-        self.look_again(record.request_key, self.due_unix_s(entry))
+        self.schedule(record.request_key, self.due_unix_s(entry))
         return entry
 
     def drop(self, request_key: str) -> None:
@@ -174,14 +174,14 @@
         settings = self._settings
         return settings.keep_s if record.may_repeat else settings.keep_once_s
 
-    def look_again(self, request_key: str, at_unix_s: float) -> None:
+    def schedule(self, request_key: str, at_unix_s: float) -> None:
         """Put a look at an entry on the agenda."""
-        heapq.heappush(self._agenda, (at_unix_s, request_key))
+        heapq.heappush(self._schedule, (at_unix_s, request_key))
 
     def due(self) -> Iterator[Entry]:
         """Yield the entries that are to be looked at by now."""
         now_unix_s = self._clock.now_s()
-        while self._agenda and self._agenda[0][0] <= now_unix_s:
-            entry = self._entries.get(heapq.heappop(self._agenda)[1])
+        while self._schedule and self._schedule[0][0] <= now_unix_s:
+            entry = self._entries.get(heapq.heappop(self._schedule)[1])
             if entry is not None:
                 yield entry
