--- a/packages/fleet/src/endivesaddle/fleet/requests/answering.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/answering.py
@@ -16,7 +16,7 @@
 from endivesaddle.wire import runs_pb2
 
 
-class Begun(NamedTuple):
+class OpenedAnswer(NamedTuple):
     """An answer of which the caller has nothing yet, with its first bytes."""
 
     follower: Follower
@@ -44,23 +44,23 @@
         follower = Follower(self._context, call.request, placement)
         pieces = follower.pieces()
         try:
-            first = await self._first(call, follower, pieces)
+            first = await self._read_first(call, follower, pieces)
         except RunLost as error:
             return runs_pb2.End(outcome=states.UNKNOWN, reason=str(error))
         except RunForgotten as error:
             return self._forgotten(call, error)
-        begun = Begun(follower, pieces, first)
+        opened = OpenedAnswer(follower, pieces, first)
         end = follower.end
         if end is None:
-            return self._relayed(call, begun)
+            return self._relayed(call, opened)
         if end.outcome != states.ANSWERED:
             return end
-        return await self._whole(call, begun, end)
+        return await self._finish_whole(call, opened, end)
 
     def abandon(self, call: Call) -> None:
         """Follow up a call whose caller went away."""
         self.release(call, ok=True)
-        self._background.start(self._finisher.leave, call)
+        self._background.start(self._finisher.handle_departure, call)
 
     def release(self, call: Call, ok: bool, used_tokens: int = 0) -> None:
         """Tell routing of the end of what it admitted, once."""
@@ -69,7 +69,7 @@
         if choice is not None:
             self._routing.ended(choice, call.want(), ok, used_tokens)
 
-    async def _first(
+    async def _read_first(
         self, call: Call, follower: Follower, pieces: AsyncGenerator[bytes, None]
     ) -> bytes:
         """Return what is held back: a whole answer, or the first token of a streamed one."""
@@ -83,18 +83,20 @@
                 break
         return bytes(held)
 
-    async def _whole(self, call: Call, begun: Begun, end: runs_pb2.End) -> Answer:
+    async def _finish_whole(self, call: Call, opened: OpenedAnswer, end: runs_pb2.End) -> Answer:
         await self._on_end(call, end)
-        return _answer(begun, _once(begun.first))
+        return _answer(opened, _once(opened.first))
 
-    def _relayed(self, call: Call, begun: Begun) -> Answer:
+    def _relayed(self, call: Call, opened: OpenedAnswer) -> Answer:
         async def on_end(end: runs_pb2.End | None) -> None:
             await self._on_end(call, end)
 
         def on_leave() -> None:
             self.abandon(call)
 
-        return _answer(begun, Relay(begun.follower, begun.pieces, begun.first, on_end, on_leave))
+        return _answer(
+            opened, Relay(opened.follower, opened.pieces, opened.first, on_end, on_leave)
+        )
 
     async def _on_end(self, call: Call, end: runs_pb2.End | None) -> None:
         outcome = states.UNKNOWN if end is None else end.outcome
@@ -113,10 +115,10 @@
         return runs_pb2.End(outcome=states.UNKNOWN, reason=str(error))
 
 
-def _answer(begun: Begun, chunks: AsyncIterator[bytes]) -> Answer:
-    head = begun.follower.head or runs_pb2.Head()
+def _answer(opened: OpenedAnswer, chunks: AsyncIterator[bytes]) -> Answer:
+    head = opened.follower.head or runs_pb2.Head()
     headers = tuple((header.name, header.value) for header in head.headers)
-    return Answer(head.status, headers, chunks, begun.follower.placement.attempt)
+    return Answer(head.status, headers, chunks, opened.follower.placement.attempt)
 
 
 async def _once(whole: bytes) -> AsyncIterator[bytes]:
--- a/packages/fleet/src/endivesaddle/fleet/requests/call_executor.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/call_executor.py
@@ -192,8 +192,8 @@
         self._answering.release(call, ok=False)
         call.passed_over.add(placement.server)
         step_name = states.REFUSED_START if stopped else states.NEVER_SENT
-        objection = await self._withdraw(call, step_name, reason)
-        if objection:
+        rejection = await self._withdraw(call, step_name, reason)
+        if rejection:
             return None
         call.record.state = states.CLAIMED
         return await self._place(call)
--- a/packages/fleet/src/endivesaddle/fleet/requests/calls.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/calls.py
@@ -23,7 +23,7 @@
 class Call:
     """A caller's request at this router, from its claim to its end.
 
-    ``claimed`` tells that a claim was sent which was or may have been granted: the
+    ``may_be_claimed`` tells that a claim was sent which was or may have been granted: the
     next one, perhaps at another holder, counts as a retry.  ``may_have_run`` is set
     once a backend server may have got it.  ``choice`` is what routing has to hear
     the end of.  ``excluded`` are servers that were lost, ``passed_over`` those that
@@ -36,7 +36,7 @@
         self.request = request
         self.call_id = uuid.uuid4().hex
         self.digest = _digest(request)
-        self.claimed = False
+        self.may_be_claimed = False
         self.may_have_run = False
         self.record = holders_pb2.Record()
         self.owner = False
@@ -56,7 +56,7 @@
     @property
     def first_attempt(self) -> bool:
         """Tell whether nothing of the request can be known to any holder."""
-        return self.alone and not self.claimed
+        return self.alone and not self.may_be_claimed
 
     @property
     def target(self) -> str:
--- a/packages/fleet/src/endivesaddle/fleet/requests/copies.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/copies.py
@@ -67,7 +67,7 @@
             else:
                 self._kept.schedule(record.request_key, forget_unix_s)
 
-    async def keep_elsewhere(self, record: holders_pb2.Record) -> bool:
+    async def replicate(self, record: holders_pb2.Record) -> bool:
         """Have another instance keep a copy; False when none could.
 
         The next instance is asked when the one before has not answered for a
@@ -76,7 +76,7 @@
         kept = anyio.Event()
         with anyio.move_on_after(self._context.settings.ask_s):
             async with anyio.create_task_group() as group:
-                for turn, address in enumerate(self._keepers(record)[:MAX_TRIES]):
+                for turn, address in enumerate(self._candidates(record)[:MAX_TRIES]):
                     group.start_soon(self._copy_to, address, record, turn * HEDGE_S, kept)
                 await kept.wait()
                 group.cancel_scope.cancel()
@@ -95,7 +95,7 @@
         if reply.kept:
             kept.set()
 
-    def _keepers(self, record: holders_pb2.Record) -> list[str]:
+    def _candidates(self, record: holders_pb2.Record) -> list[str]:
         budgets = self._context.budgets
         ordered = rendezvous(record.request_key, self._context.other_data_centres())
         addresses = [budgets.holder_address(record.account, name) for name in ordered]
--- a/packages/fleet/src/endivesaddle/fleet/requests/deciding.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/deciding.py
@@ -16,11 +16,11 @@
 from endivesaddle.fleet.sentinels import NOT_RUN, RUN_UNKNOWN, NotHolder, Refusal
 from endivesaddle.wire import holders_pb2
 
-RECOVERY_LOOK_S = 0.05
+RECOVERY_POLL_S = 0.05
 FIRST_EPOCH = 1
 
 
-def goes_first(request_key: str, one: str, other: str) -> bool:
+def has_precedence(request_key: str, one: str, other: str) -> bool:
     """Tell which of two crossing claims goes first, the same in every data centre."""
     return rendezvous(request_key, [one, other])[0] == one
 
@@ -40,7 +40,7 @@
         self.yield_to = ''
         self.left = False
 
-    def holds_for(self, message: holders_pb2.ClaimRequest) -> bool:
+    def answers(self, message: holders_pb2.ClaimRequest) -> bool:
         """Tell whether the reply answers another claim of the same key too.
 
         A grant doesn't: the other call attaches to it.  A refusal does not
@@ -79,9 +79,9 @@
             return _not_holder(held)
         query_result = await self._query(message, held)
         if query_result.known is not None and not self._given_back(query_result.known):
-            return self._tell_known(query_result.known, message, query_result)
+            return self._reply_known(query_result.known, message, query_result)
         if query_result.yield_to:
-            return self._lead_to(query_result.yield_to, message)
+            return self._redirect_to(query_result.yield_to, message)
         if self._known_here(message.request_key):
             return None
         return await self._reserve(pending, query_result)
@@ -127,9 +127,9 @@
     def _possible_retry(self, message: holders_pb2.ClaimRequest, held: Reserved) -> bool:
         if not message.first_attempt or self._marks.marked(message.request_key):
             return True
-        return not message.may_repeat and self._young(held)
+        return not message.may_repeat and self._marks_may_be_missing(held)
 
-    def _young(self, held: Reserved) -> bool:
+    def _marks_may_be_missing(self, held: Reserved) -> bool:
         """Tell whether marks planted at an earlier holder may be missing here.
 
         Failure: a first attempt is late, its retry ran elsewhere, and the holder
@@ -146,7 +146,7 @@
         while not self._context.budgets.recovered(message.account):
             if left_s(self._context.clock, until_unix_s) <= 0 or message.may_repeat:
                 return False
-            await anyio.sleep(RECOVERY_LOOK_S)
+            await anyio.sleep(RECOVERY_POLL_S)
         return True
 
     def _check(
@@ -179,7 +179,7 @@
             return False
         return entry.record.epoch >= record.epoch and entry.record.attempt >= record.attempt
 
-    def _tell_known(
+    def _reply_known(
         self,
         record: holders_pb2.Record,
         message: holders_pb2.ClaimRequest,
@@ -195,7 +195,7 @@
             return None
         return holders_pb2.ClaimReply(verdict=states.KNOWN, record=record)
 
-    def _lead_to(
+    def _redirect_to(
         self, data_centre: str, message: holders_pb2.ClaimRequest
     ) -> holders_pb2.ClaimReply:
         CLAIM_YIELDED.log(request_key=message.request_key, to=data_centre)
@@ -217,7 +217,7 @@
         if pending.yield_to or self._known_here(message.request_key):
             self._context.budgets.settle(message.account, message.request_key, reserved.epoch, 0)
             if pending.yield_to:
-                return self._lead_to(pending.yield_to, message)
+                return self._redirect_to(pending.yield_to, message)
             return None
         previous = self._table.find(message.request_key)
         record = self._record(message, reserved, query_result, previous)
--- a/packages/fleet/src/endivesaddle/fleet/requests/dispatching.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/dispatching.py
@@ -29,10 +29,12 @@
     ) -> holders_pb2.NoteReply:
         """Take in a note on a request."""
         async with entry.lock:
-            reason = await self._take(entry, message, held)
+            reason = await self._merge_note(entry, message, held)
         return holders_pb2.NoteReply(accepted=not reason, reason=reason)
 
-    async def _take(self, entry: Entry, message: holders_pb2.NoteRequest, held: Reserved) -> str:
+    async def _merge_note(
+        self, entry: Entry, message: holders_pb2.NoteRequest, held: Reserved
+    ) -> str:
         if message.state == states.DISPATCHED:
             return await self._dispatch(entry, message, held)
         if message.state == states.CLAIMED:
@@ -49,7 +51,7 @@
         record = entry.record
         if _same_dispatch(record, message):
             return ''
-        reason = self._objection(entry, message, held)
+        reason = self._rejection_reason(entry, message, held)
         if not reason:
             entry.withdrawn = frozenset()
             if record.state == states.DISPATCHED:
@@ -59,12 +61,14 @@
         draft = holders_pb2.Record()
         draft.CopyFrom(record)
         _apply(draft, message)
-        if not await self._copies.keep_elsewhere(draft):
+        if not await self._copies.replicate(draft):
             return states.NO_COPY
         # The epoch may have been sealed, or the claim closed, while it was copied.
-        return self._objection(entry, message, held) or _apply(record, message)
+        return self._rejection_reason(entry, message, held) or _apply(record, message)
 
-    def _objection(self, entry: Entry, message: holders_pb2.NoteRequest, held: Reserved) -> str:
+    def _rejection_reason(
+        self, entry: Entry, message: holders_pb2.NoteRequest, held: Reserved
+    ) -> str:
         record = entry.record
         if message.epoch != record.epoch or held.epoch != record.epoch or self._sealed(record):
             return states.OLD_EPOCH
--- a/packages/fleet/src/endivesaddle/fleet/requests/finding.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/finding.py
@@ -9,13 +9,13 @@
 Matcher = Callable[[str], Callable[[holders_pb2.Record], bool]]
 """Turns the terms of a query into a predicate; raises ``UserError``."""
 
-MOST = 200
+MAX_ROWS = 200
 """Rows that are returned at the most where the question gives no number."""
 
 
 def match_field(query: str) -> Callable[[holders_pb2.Record], bool]:
     """Match ``field:value`` terms, all of them; an empty query matches all."""
-    wanted = dict(_term(word) for word in query.split())
+    wanted = dict(_parse_term(term) for term in query.split())
 
     def matches(record: holders_pb2.Record) -> bool:
         return all(str(getattr(record, name)) == text for name, text in wanted.items())
@@ -23,8 +23,8 @@
     return matches
 
 
-def _term(word: str) -> tuple[str, str]:
-    name, colon, text = word.partition(':')
+def _parse_term(term: str) -> tuple[str, str]:
+    name, colon, text = term.partition(':')
     if not colon or name not in holders_pb2.Record.DESCRIPTOR.fields_by_name:
         raise UserError(f'{name!r} is not a field of a record')
     return name, text
@@ -40,9 +40,11 @@
         matches = matcher(message.query)
     except UserError as error:
         return holders_pb2.FindReply(reason=str(error))
-    found = merge(record for record in records if _asked_for(message, record) and matches(record))
-    most = message.most or MOST
-    return holders_pb2.FindReply(records=found[:most], complete=len(found) <= most)
+    found = merge(
+        record for record in records if _is_requested(message, record) and matches(record)
+    )
+    max_rows = message.most or MAX_ROWS
+    return holders_pb2.FindReply(records=found[:max_rows], complete=len(found) <= max_rows)
 
 
 def merge(records: Iterable[holders_pb2.Record]) -> list[holders_pb2.Record]:
@@ -50,11 +52,11 @@
     claims: dict[tuple[str, str], list[holders_pb2.Record]] = {}
     for record in records:
         claims.setdefault((record.request_key, record.data_centre), []).append(record)
-    whole = [_put_together(copies) for copies in claims.values()]
+    whole = [_combine(copies) for copies in claims.values()]
     return sorted(whole, key=operator.attrgetter('claimed_unix_s'), reverse=True)
 
 
-def _put_together(copies: list[holders_pb2.Record]) -> holders_pb2.Record:
+def _combine(copies: list[holders_pb2.Record]) -> holders_pb2.Record:
     """Return the fullest copy with the steps that any has.
 
     Failure: a holder dies after it wrote the record, and its successor writes what the
@@ -72,7 +74,7 @@
     return whole
 
 
-def _asked_for(message: holders_pb2.FindRequest, record: holders_pb2.Record) -> bool:
+def _is_requested(message: holders_pb2.FindRequest, record: holders_pb2.Record) -> bool:
     if message.account and record.account != message.account:
         return False
     return message.request_key in {'', record.request_key}
--- a/packages/fleet/src/endivesaddle/fleet/requests/finishing.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/finishing.py
@@ -60,34 +60,34 @@
         reply = await self._holder_client.settle(message)
         return reply is not None and reply.settled
 
-    async def leave(self, call: Call) -> None:
+    async def handle_departure(self, call: Call) -> None:
         """Follow up a caller who went away: cancel what nobody else may want.
 
         A caller who named the request may come back with a retry, so it is
         cancelled only after a while; the sidecar bills what was generated.
         """
         if not call.record.request_key:
-            self._name(call)
+            self._name_claim(call)
         if call.record.state == states.CLAIMED:
             await self.give_back(call)
             return
-        alone = await self._note_left(call)
+        alone = await self._note_departure(call)
         if not (alone and call.request.may_repeat):
             return
         if call.request.named:
             await anyio.sleep(self._context.settings.cancel_after_s)
-            alone = await self._note_left(call)
+            alone = await self._note_departure(call)
         if alone:
             await self._cancel(call)
 
-    def _name(self, call: Call) -> None:
+    def _name_claim(self, call: Call) -> None:
         """Name a claim of which nothing was heard: it may be waiting, or granted."""
         call.record.request_key = call.request.key
         call.record.account = call.request.account
         call.record.data_centre = self._context.identity.data_centre
         call.record.state = states.CLAIMED
 
-    async def _note_left(self, call: Call) -> bool:
+    async def _note_departure(self, call: Call) -> bool:
         step = self._step_factory.step(states.LEFT, call.record.attempt)
         message = holders_pb2.NoteRequest(
             request_key=call.request.key,
--- a/packages/fleet/src/endivesaddle/fleet/requests/granting.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/granting.py
@@ -43,9 +43,9 @@
     async def claim(self, message: holders_pb2.ClaimRequest) -> holders_pb2.ClaimReply:
         """Grant a request, tell that it is known or waiting, or refuse it."""
         while True:
-            turned = self._turn_away(message)
-            if turned is not None:
-                return turned
+            rejection = self._reject_if_not_holder(message)
+            if rejection is not None:
+                return rejection
             entry = self._table.find(message.request_key)
             if entry is not None and not self._reclaimable(entry):
                 return await self._attach(entry, message)
@@ -59,7 +59,9 @@
         if pending is not None and message.outcome == states.REFUSED:
             pending.left = pending.left or message.call_id == pending.message.call_id
 
-    def _turn_away(self, message: holders_pb2.ClaimRequest) -> holders_pb2.ClaimReply | None:
+    def _reject_if_not_holder(
+        self, message: holders_pb2.ClaimRequest
+    ) -> holders_pb2.ClaimReply | None:
         held = self._context.budgets.held(message.account)
         if isinstance(held, NotHolder):
             return holders_pb2.ClaimReply(
@@ -103,7 +105,7 @@
             await pending.done.wait()
         if not pending.done.is_set():
             return holders_pb2.ClaimReply(verdict=states.WAITING)
-        return pending.reply if not joined or pending.holds_for(message) else None
+        return pending.reply if not joined or pending.answers(message) else None
 
     def _begin(self, message: holders_pb2.ClaimRequest) -> Pending:
         pending = Pending(message)
@@ -135,4 +137,4 @@
         """Release a claim at once whose caller went away while it was waiting."""
         entry = self._table.find(pending.message.request_key)
         if pending.left and entry is not None and entry.calls == {pending.message.call_id}:
-            self._settler.end_not_run(entry, 'the caller left')
+            self._settler.close_not_run(entry, 'the caller left')
--- a/packages/fleet/src/endivesaddle/fleet/requests/holder_client.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/holder_client.py
@@ -13,9 +13,9 @@
 from endivesaddle.fleet.sentinels import NOT_RUN, RUN_UNKNOWN, Refusal
 from endivesaddle.wire import holders_pb2, rpcs
 
-HOPS = 4
+MAX_ADDRESSES = 4
 """How often a call is sent on to another holder."""
-ROUNDS = 3
+MAX_ROUNDS = 3
 """How often all holders are tried before a claim is given up."""
 
 
@@ -28,11 +28,11 @@
 
     async def claim(self, call: Call) -> holders_pb2.ClaimReply | Refusal:
         """Claim a request at a holder; sent again with the same key until answered."""
-        for _ in range(ROUNDS):
+        for _ in range(MAX_ROUNDS):
             for address in self._holders(call):
                 reply = await self._claim_at(call, address)
                 if reply is not None:
-                    return self._understand(call, reply)
+                    return self._interpret(call, reply)
             if self._context.now_s() >= call.request.deadline_unix_s:
                 break
             await anyio.sleep(self._context.settings.retry_pause_s)
@@ -46,7 +46,7 @@
     async def note(self, call: Call, message: holders_pb2.NoteRequest) -> str:
         """Note something at the holder of the claim; return why it was not accepted."""
         address = self.settling_address(call.record)
-        for _ in range(HOPS):
+        for _ in range(MAX_ADDRESSES):
             if not address:
                 break
             reply = await self._try(address, rpcs.NOTE, message, call.request.deadline_unix_s)
@@ -63,7 +63,7 @@
     async def settle(self, message: holders_pb2.SettleRequest) -> holders_pb2.SettleReply | None:
         """Settle at the holder of the claim; None when none answered."""
         address = self._context.budgets.holder_address(message.account, message.data_centre)
-        for _ in range(HOPS):
+        for _ in range(MAX_ADDRESSES):
             if not address:
                 return None
             deadline_unix_s = self._context.now_s() + self._context.settings.call_s
@@ -80,7 +80,7 @@
     async def copy(self, record: holders_pb2.Record) -> bool:
         """Have any other router keep a copy of a record."""
         routers = [member.address for member in self._context.view.members('router')]
-        for address in rendezvous(record.request_key, routers)[:HOPS]:
+        for address in rendezvous(record.request_key, routers)[:MAX_ADDRESSES]:
             if address == self._context.identity.address:
                 continue
             deadline_unix_s = self._context.now_s() + self._context.settings.ask_s
@@ -102,7 +102,7 @@
                 yield address
 
     async def _claim_at(self, call: Call, address: str) -> holders_pb2.ClaimReply | None:
-        for _ in range(HOPS):
+        for _ in range(MAX_ADDRESSES):
             reply = await self._claim_once(call, address)
             if reply is None or reply.verdict != states.NOT_HOLDER:
                 return reply
@@ -119,7 +119,7 @@
         """
         silent_unix_s = self._context.now_s() + self._context.settings.lost_after_s
         while self._context.now_s() < min(call.request.deadline_unix_s, silent_unix_s):
-            deadline_unix_s = self._soon(call.request.deadline_unix_s)
+            deadline_unix_s = self._call_deadline_unix_s(call.request.deadline_unix_s)
             message = self._claim(call)
             try:
                 reply = await self._context.peers.call(
@@ -128,15 +128,15 @@
             except (PeerUnreachable, PeerRefused):
                 return None
             except PeerSilent:
-                call.claimed = True
+                call.may_be_claimed = True
                 continue
             if reply.verdict != states.WAITING:
                 return reply
-            call.claimed = True
+            call.may_be_claimed = True
             silent_unix_s = self._context.now_s() + self._context.settings.lost_after_s
         return None
 
-    def _soon(self, deadline_unix_s: float) -> float:
+    def _call_deadline_unix_s(self, deadline_unix_s: float) -> float:
         return min(deadline_unix_s, self._context.now_s() + self._context.settings.call_s)
 
     def _claim(self, call: Call) -> holders_pb2.ClaimRequest:
@@ -156,12 +156,12 @@
             call_id=call.call_id,
         )
 
-    def _understand(
+    def _interpret(
         self, call: Call, reply: holders_pb2.ClaimReply
     ) -> holders_pb2.ClaimReply | Refusal:
         if reply.verdict == states.REFUSED:
             return refusals.from_reply(reply)
-        call.claimed = True
+        call.may_be_claimed = True
         return reply
 
     async def _try(
@@ -169,7 +169,7 @@
     ) -> Any:
         try:
             return await self._context.peers.call(
-                address, rpc, message, self._soon(deadline_unix_s)
+                address, rpc, message, self._call_deadline_unix_s(deadline_unix_s)
             )
         except (PeerUnreachable, PeerSilent, PeerRefused):
             return None
--- a/packages/fleet/src/endivesaddle/fleet/requests/record_merger.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/record_merger.py
@@ -19,12 +19,12 @@
     def merge(self, record: holders_pb2.Record) -> None:
         """Take in one record; several instances may report the same request."""
         entry = self._table.find(record.request_key)
-        if entry is not None and _overtaken(entry, record):
+        if entry is not None and _is_superseded(entry, record):
             self._settler.release(entry)
             self._replace(entry, record)
-        elif entry is None or _tells_more(record, entry.record):
+        elif entry is None or _is_newer(record, entry.record):
             self._replace(entry, record)
-        elif entry.record.epoch > record.epoch and _ran(record):
+        elif entry.record.epoch > record.epoch and _may_be_billed(record):
             # Granted anew before the report came: the older run was counted when
             # its epoch was sealed, and a request is billed once.
             entry.billed_elsewhere = True
@@ -38,7 +38,7 @@
             self._settler.finish(merged, record.used_tokens, 'reported under a sealed epoch')
 
 
-def _overtaken(entry: Entry, record: holders_pb2.Record) -> bool:
+def _is_superseded(entry: Entry, record: holders_pb2.Record) -> bool:
     """Tell whether a claim of an old epoch gives way to one that was granted anew since.
 
     Failure: a holder was frozen with a claim open; another granted the request anew
@@ -53,7 +53,7 @@
     return unstarted or record.state == states.ENDED
 
 
-def _ran(record: holders_pb2.Record) -> bool:
+def _may_be_billed(record: holders_pb2.Record) -> bool:
     """Tell whether a record of an older epoch has or may get a bill of its own.
 
     An attempt that failed gets none where a later one answered; taken for billed,
@@ -64,11 +64,11 @@
     return record.state in {states.DISPATCHED, states.UNKNOWN}
 
 
-def _tells_more(record: holders_pb2.Record, known: holders_pb2.Record) -> bool:
+def _is_newer(record: holders_pb2.Record, known: holders_pb2.Record) -> bool:
     if record.epoch != known.epoch:
         return known.state == states.REFUSED and record.epoch > known.epoch
-    return _rank(record) > _rank(known)
+    return _progress(record) > _progress(known)
 
 
-def _rank(record: holders_pb2.Record) -> tuple[int, int]:
+def _progress(record: holders_pb2.Record) -> tuple[int, int]:
     return (record.attempt, _ORDER.index(record.state))
--- a/packages/fleet/src/endivesaddle/fleet/requests/refused_claims.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/refused_claims.py
@@ -13,7 +13,7 @@
 from endivesaddle.fleet.requests.steps import append
 from endivesaddle.wire import holders_pb2
 
-MOST_TOLD = 8
+MAX_REFUSALS = 8
 """Refusals kept of one request that is retried again and again: the newest."""
 
 
@@ -31,7 +31,7 @@
 
     def add(self, record: holders_pb2.Record) -> None:
         """Remember a refusal, with the earlier ones of the same request."""
-        steps = [*self.take(record.request_key), *record.steps][-MOST_TOLD:]
+        steps = [*self.take(record.request_key), *record.steps][-MAX_REFUSALS:]
         record.ClearField('steps')
         record.steps.extend(steps)
         self._packed[record.request_key] = record.SerializeToString()
--- a/packages/fleet/src/endivesaddle/fleet/requests/relaying.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/relaying.py
@@ -40,8 +40,8 @@
         self._first = first
         self._on_end = on_end
         self._on_leave = on_leave
-        self._over = False
-        self._handed = self._hand_out()
+        self._ended = False
+        self._output = self._generate()
 
     def __aiter__(self) -> 'Relay':
         """Iterate over itself."""
@@ -50,7 +50,7 @@
     async def __anext__(self) -> bytes:
         """Return the next piece; raises ``AnswerBroken``."""
         try:
-            return await anext(self._handed)
+            return await anext(self._output)
         except (AnswerBroken, StopAsyncIteration):
             raise
         except BaseException:
@@ -61,15 +61,15 @@
     async def aclose(self) -> None:
         """Stop; the run is given up unless its end was reached."""
         self._leave()
-        await self._handed.aclose()
+        await self._output.aclose()
         await self._pieces.aclose()
 
     def _leave(self) -> None:
-        if not self._over:
-            self._over = True
+        if not self._ended:
+            self._ended = True
             self._on_leave()
 
-    async def _hand_out(self) -> AsyncGenerator[bytes, None]:
+    async def _generate(self) -> AsyncGenerator[bytes, None]:
         held_back = b''
         try:
             async for piece in self._all():
@@ -78,11 +78,11 @@
                 elif piece:
                     yield piece
         except (RunLost, RunForgotten) as error:
-            raise await self._broken(str(error)) from error
+            raise await self._report_broken(str(error)) from error
         end = self._follower.end
         if end is None or end.outcome != states.ANSWERED:
-            raise await self._broken('' if end is None else end.reason)
-        self._over = True
+            raise await self._report_broken('' if end is None else end.reason)
+        self._ended = True
         await self._on_end(end)
         if held_back:
             yield held_back
@@ -92,8 +92,8 @@
         async for piece in self._pieces:
             yield piece
 
-    async def _broken(self, reason: str) -> AnswerBroken:
-        self._over = True
+    async def _report_broken(self, reason: str) -> AnswerBroken:
+        self._ended = True
         ANSWER_BROKEN.log(reason=reason, offset_bytes=self._follower.offset_bytes)
         await self._on_end(self._follower.end)
         return AnswerBroken(refusals.ANSWER_BROKEN.refuse(HAS_RUN, reason))
--- a/packages/fleet/src/endivesaddle/fleet/requests/retry_queries.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/retry_queries.py
@@ -9,7 +9,7 @@
 from endivesaddle.fleet.requests.context import Context
 from endivesaddle.wire import holders_pb2, rpcs
 
-HOPS = 3
+MAX_REDIRECTS = 3
 """How often a question is sent on to another holder of the same data centre."""
 
 
@@ -43,7 +43,7 @@
             epoch=epoch,
             call_id=claim.call_id,
         )
-        return _summary(claim.digest, others, await self.query_each(query, others))
+        return _summarize(claim.digest, others, await self.query_each(query, others))
 
     async def query_each(
         self, query: holders_pb2.AskRequest, data_centres: list[str]
@@ -65,7 +65,7 @@
     ) -> None:
         deadline_unix_s = self._context.now_s() + self._context.settings.ask_s
         address = self._context.budgets.holder_address(query.account, data_centre)
-        for _ in range(HOPS):
+        for _ in range(MAX_REDIRECTS):
             if not address:
                 return
             try:
@@ -88,7 +88,7 @@
     return own is not None and own.verdict == states.MARKED
 
 
-def _summary(
+def _summarize(
     digest: str, data_centres: list[str], replies: dict[str, holders_pb2.AskReply]
 ) -> RetryQueryResult:
     known = [
--- a/packages/fleet/src/endivesaddle/fleet/requests/retry_query_handler.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/retry_query_handler.py
@@ -3,7 +3,7 @@
 from endivesaddle.fleet.requests import states
 from endivesaddle.fleet.requests.context import Context
 from endivesaddle.fleet.requests.copies import Copies
-from endivesaddle.fleet.requests.deciding import Pending, goes_first
+from endivesaddle.fleet.requests.deciding import Pending, has_precedence
 from endivesaddle.fleet.requests.retry_marks import RetryMarks
 from endivesaddle.fleet.requests.table import Entry, Table
 from endivesaddle.fleet.sentinels import NotHolder
@@ -41,7 +41,7 @@
         known = self._known(message)
         if known is not None:
             return holders_pb2.AskReply(verdict=states.KNOWN, record=known)
-        if not self._give_way(message):
+        if not self._yield_to(message):
             return holders_pb2.AskReply(verdict=states.YIELD)
         self._marks.add(message.request_key, message.mark_until_unix_s)
         sure = budgets.recovered(message.account)
@@ -61,13 +61,13 @@
         if entry.open and message.call_id:
             entry.calls |= {message.call_id}
 
-    def _give_way(self, message: holders_pb2.AskRequest) -> bool:
+    def _yield_to(self, message: holders_pb2.AskRequest) -> bool:
         """Let a crossing claim go first, if the fixed order of the two says so."""
         pending = self._pending.get(message.request_key)
         if pending is None or not message.call_id:
             return True
         own = self._context.identity.data_centre
-        if goes_first(message.request_key, own, message.data_centre):
+        if has_precedence(message.request_key, own, message.data_centre):
             return False
         pending.yield_to = message.data_centre
         return True
--- a/packages/fleet/src/endivesaddle/fleet/requests/settling.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/settling.py
@@ -33,7 +33,7 @@
         append(record, *message.steps)
         if not entry.open and record.state != states.UNKNOWN:
             return _settled(record)
-        if message.attempt < record.attempt and not self._answers_after_all(entry, message):
+        if message.attempt < record.attempt and not self._accept_late_answer(entry, message):
             # A newer attempt was dispatched: it is the one that the caller hears.
             LATE_ATTEMPT.log(request_key=record.request_key, attempt=message.attempt)
             self._note_usage(entry, message)
@@ -62,7 +62,7 @@
         entry.billed = own.state == states.REFUSED
         return entry
 
-    def end_unreported(self, entry: Entry) -> None:
+    def close_unreported(self, entry: Entry) -> None:
         """Close a claim that nobody reported by its stored deadline.
 
         What an earlier attempt reported is billed; else the worst case, because
@@ -81,21 +81,21 @@
         still be reported until the stored deadline for that.
         """
         record = entry.record
-        if entry.reported_tokens >= 0 or entry.may_have_run and self.reports_are_over(record):
-            self.end_unreported(entry)
+        if entry.reported_tokens >= 0 or entry.may_have_run and self.report_deadline_passed(record):
+            self.close_unreported(entry)
         elif entry.may_have_run:
             settings = self._context.settings
             again_unix_s = self._context.now_s() + settings.unasked_every_s
             self._table.schedule(record.request_key, again_unix_s)
         else:
-            self.end_not_run(entry, 'not dispatched')
+            self.close_not_run(entry, 'not dispatched')
 
-    def reports_are_over(self, record: holders_pb2.Record) -> bool:
+    def report_deadline_passed(self, record: holders_pb2.Record) -> bool:
         """Tell whether the stored deadline for reports of a run has passed."""
         settle_until_s = self._context.settings.settle_until_s
         return self._context.now_s() >= record.deadline_unix_s + settle_until_s
 
-    def end_not_run(self, entry: Entry, reason: str) -> None:
+    def close_not_run(self, entry: Entry, reason: str) -> None:
         """Close a claim that certainly ran nowhere, nor will."""
         record = entry.record
         record.state = states.REFUSED
@@ -148,10 +148,10 @@
             # this caller must not hear "not run".
             return holders_pb2.SettleReply(reason=states.OTHERS_ATTACHED)
         record.refusal_status = message.refusal_status
-        self.end_not_run(entry, 'given back')
+        self.close_not_run(entry, 'given back')
         return _settled(record)
 
-    def _answers_after_all(self, entry: Entry, message: holders_pb2.SettleRequest) -> bool:
+    def _accept_late_answer(self, entry: Entry, message: holders_pb2.SettleRequest) -> bool:
         """Take a given up attempt's answer where none is under way in its place."""
         lost = entry.lost
         answered = message.outcome == states.ANSWERED and entry.record.state == states.CLAIMED
@@ -172,7 +172,7 @@
             # The sidecar itself can't tell more: what it saw generated is billed.
             if message.used_tokens:
                 self._note_usage(entry, message)
-            self.end_unreported(entry)
+            self.close_unreported(entry)
             return _settled(record)
         if entry.reported_tokens >= 0:
             self._end(entry, states.UNKNOWN, entry.reported_tokens)
--- a/packages/fleet/src/endivesaddle/fleet/requests/starting.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/starting.py
@@ -51,7 +51,7 @@
         while True:
             try:
                 reply = await self._context.peers.call(
-                    placement.sidecar, rpcs.START, message, self._soon(call)
+                    placement.sidecar, rpcs.START, message, self._call_deadline_unix_s(call)
                 )
             except PeerSilent as error:
                 sent = True
@@ -61,7 +61,7 @@
                 if not sent:
                     return StartOutcome(Start.NOT_RUN, placement.attempt, reason)
             else:
-                return _understand(reply, placement)
+                return _interpret(reply, placement)
             late = self._context.now_s() >= call.request.deadline_unix_s
             if late or loss_detector.lost(placement):
                 return StartOutcome(Start.LOST, placement.attempt, reason)
@@ -81,13 +81,13 @@
         )
         try:
             reply = await self._context.peers.call(
-                placement.sidecar, rpcs.CANCEL, message, self._soon(call)
+                placement.sidecar, rpcs.CANCEL, message, self._call_deadline_unix_s(call)
             )
         except (PeerUnreachable, PeerSilent, PeerRefused):
             return False
         return bool(reply.not_run)
 
-    def _soon(self, call: Call) -> float:
+    def _call_deadline_unix_s(self, call: Call) -> float:
         soon_unix_s = self._context.now_s() + self._context.settings.call_s
         return min(call.request.deadline_unix_s, soon_unix_s)
 
@@ -121,7 +121,7 @@
         )
 
 
-def _understand(reply: runs_pb2.StartReply, placement: Placement) -> StartOutcome:
+def _interpret(reply: runs_pb2.StartReply, placement: Placement) -> StartOutcome:
     if reply.verdict != states.REFUSED:
         return StartOutcome(Start.RUNNING, reply.attempt or placement.attempt)
     start = Start.NOT_RUN if reply.not_run else Start.LOST
--- a/packages/fleet/src/endivesaddle/fleet/requests/sweeping.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/sweeping.py
@@ -9,7 +9,7 @@
 from endivesaddle.fleet.requests.background import BackgroundTasks
 from endivesaddle.fleet.requests.context import Context
 from endivesaddle.fleet.requests.copies import Copies
-from endivesaddle.fleet.requests.deciding import goes_first
+from endivesaddle.fleet.requests.deciding import has_precedence
 from endivesaddle.fleet.requests.events import RESOLVED
 from endivesaddle.fleet.requests.retry_marks import RetryMarks
 from endivesaddle.fleet.requests.retry_queries import RetryQuerier
@@ -20,7 +20,7 @@
 from endivesaddle.wire import holders_pb2, rpcs, runs_pb2
 
 SWEEP_S = 0.5
-PARTED_KEEP_S = 60.0
+MISSING_DATA_CENTRE_KEEP_S = 60.0
 """How much longer a request is remembered while a data centre is out of view."""
 
 
@@ -56,7 +56,7 @@
         if entry.billed:
             self._forget(entry)
         elif isinstance(self._context.budgets.held(record.account), NotHolder):
-            self._leave(entry)
+            self._defer_to_holder(entry)
         elif record.state == states.CLAIMED:
             self._settler.close_claimed(entry)
         elif record.state == states.ENDED:
@@ -64,7 +64,7 @@
         else:
             self._check_run(entry)
 
-    def _leave(self, entry: Entry) -> None:
+    def _defer_to_holder(self, entry: Entry) -> None:
         """Leave an open claim to whoever holds the shard now.
 
         Failure: a holder was frozen, was followed, and wakes.  Symptom: it closes its
@@ -82,25 +82,25 @@
 
     def _check_run(self, entry: Entry) -> None:
         record = entry.record
-        if self._settler.reports_are_over(record) or self._is_replaced(record):
+        if self._settler.report_deadline_passed(record) or self._is_replaced(record):
             self._close(entry)
         elif self._context.now_s() < record.deadline_unix_s:
             # Given up by its router, but the sidecar may still be running it.
             self._reschedule(record)
         else:
-            self._background.start(self._inquire, entry)
+            self._background.start(self._query_sidecar, entry)
 
     def _close(self, entry: Entry) -> None:
         """Bill what nobody reported, as soon as the store has confirmed who holds it.
 
         A holder that was frozen doesn't know at first that it was followed, nor, when it
-        holds the shard again, what was billed meanwhile; see ``_leave``.
+        holds the shard again, what was billed meanwhile; see ``_defer_to_holder``.
         """
         record = entry.record
         budgets = self._context.budgets
         confirmed = budgets.confirmed_unix_s(record.account) >= record.deadline_unix_s
         if confirmed and budgets.recovered(record.account):
-            self._settler.end_unreported(entry)
+            self._settler.close_unreported(entry)
         else:
             self._reschedule(record)
 
@@ -121,14 +121,18 @@
         if due_unix_s <= self._context.now_s() and not entry.packed:
             entry.pack()
             due_unix_s = self._table.due_unix_s(entry)
-        if due_unix_s <= self._context.now_s() and self._parted() and not self._table.full():
-            due_unix_s = self._context.now_s() + PARTED_KEEP_S
+        if (
+            due_unix_s <= self._context.now_s()
+            and self._data_centre_missing()
+            and not self._table.full()
+        ):
+            due_unix_s = self._context.now_s() + MISSING_DATA_CENTRE_KEEP_S
         if due_unix_s <= self._context.now_s():
             self._table.drop(record.request_key)
         else:
             self._table.schedule(record.request_key, due_unix_s)
 
-    def _parted(self) -> bool:
+    def _data_centre_missing(self) -> bool:
         """Tell whether a data centre is out of view.
 
         Failure: a retry ran there provisionally, and asks only when the partition
@@ -138,7 +142,7 @@
         seen = {member.data_centre for member in routers if member.state == 'live'}
         return not seen.issuperset(self._context.other_data_centres())
 
-    async def _inquire(self, entry: Entry) -> None:
+    async def _query_sidecar(self, entry: Entry) -> None:
         """Ask the sidecar of a run that nobody reported whether it ever started.
 
         The deadline has passed, so it must stop anyway: a cancel does no harm,
@@ -181,7 +185,9 @@
         if entry.billed:
             return
         remaining = [name for name in record.unasked if not self._answered(record, name, replies)]
-        elsewhere = any(self._billed_there(record, reply.record) for reply in replies.values())
+        elsewhere = any(
+            self._is_billed_elsewhere(record, reply.record) for reply in replies.values()
+        )
         record.ClearField('unasked')
         record.unasked.extend(remaining)
         if elsewhere or entry.billed_elsewhere:
@@ -205,9 +211,9 @@
         reply = replies.get(data_centre)
         if reply is None or reply.verdict == states.UNSURE:
             return False
-        return not _is_open_elsewhere(record, reply.record)
+        return not _may_end_not_run(record, reply.record)
 
-    def _billed_there(self, own: holders_pb2.Record, other: holders_pb2.Record) -> bool:
+    def _is_billed_elsewhere(self, own: holders_pb2.Record, other: holders_pb2.Record) -> bool:
         """Tell whether a record elsewhere bills the request, so that this one must not.
 
         Both sides of a partition may have run it; a bill with the lower standing
@@ -215,18 +221,18 @@
         """
         if other.data_centre in {'', own.data_centre} or other.state == states.REFUSED:
             return False
-        if _is_open_elsewhere(own, other):
+        if _may_end_not_run(own, other):
             return False
         if has_step(other, states.BILLED_ELSEWHERE):
             return False
         there = _standing(other, own.data_centre)
         here = _standing(own, other.data_centre)
         if there is here:
-            return goes_first(own.request_key, other.data_centre, own.data_centre)
+            return has_precedence(own.request_key, other.data_centre, own.data_centre)
         return there < here
 
 
-def _is_open_elsewhere(own: holders_pb2.Record, other: holders_pb2.Record) -> bool:
+def _may_end_not_run(own: holders_pb2.Record, other: holders_pb2.Record) -> bool:
     """Tell whether another data centre has a claim that may yet end as not run.
 
     Failure: a paused router dispatched there and never sent it.  Symptom: this run
