--- a/packages/callers/src/endivesaddle/callers/accounts.py
+++ b/packages/callers/src/endivesaddle/callers/accounts.py
@@ -11,7 +11,7 @@
     return hashlib.sha256(key.encode()).hexdigest()
 
 
-class Keys:
+class KeyIndex:
     """Index accounts and operators by the digest of their keys.
 
     The index is rebuilt when another revision comes into force, so that a key
--- a/packages/callers/src/endivesaddle/callers/app.py
+++ b/packages/callers/src/endivesaddle/callers/app.py
@@ -7,9 +7,9 @@
 import anyio
 
 from endivesaddle.callers import events, operating, serving
-from endivesaddle.callers.accounts import Keys
+from endivesaddle.callers.accounts import KeyIndex
 from endivesaddle.callers.context import Context, Handler, routes
-from endivesaddle.callers.exchange import CallerGone, Exchange, Receive, Send, live
+from endivesaddle.callers.exchange import CallerGone, Exchange, Receive, Send, serve_lifespan
 from endivesaddle.callers.metrics import Metrics
 from endivesaddle.callers.ports import OperatorPort, StatePort
 from endivesaddle.callers.refusals import Invalid, error_body, refuse
@@ -46,7 +46,7 @@
         """Hand requests to ``front`` and commands to ``operators``."""
         self.cut_count = 0
         self._clock = clock
-        self._context = Context(settings, front, view, operators, state, Keys(view), Metrics())
+        self._context = Context(settings, front, view, operators, state, KeyIndex(view), Metrics())
 
     async def __call__(self, scope: MutableMapping[str, Any], receive: Receive, send: Send) -> None:
         """Serve one ASGI scope."""
@@ -55,7 +55,7 @@
                 Exchange(scope, receive, send, self._context.settings, self._clock.now_s())
             )
         elif scope['type'] == 'lifespan':
-            await live(receive, send)
+            await serve_lifespan(receive, send)
         else:
             await send({'type': 'websocket.close'})
 
@@ -103,6 +103,6 @@
             f'there is no {exchange.method} {exchange.path}',
             status=HTTPStatus.NOT_FOUND,
         ),
-        alone=True,
+        no_earlier_attempt=True,
     )
     await exchange.reply(refusal.status, error_body(refusal))
--- a/packages/callers/src/endivesaddle/callers/bounds.py
+++ b/packages/callers/src/endivesaddle/callers/bounds.py
@@ -22,7 +22,7 @@
 import xxhash
 
 BLOCK_BYTES = 256
-MOST_BLOCKS = 64
+MAX_BLOCKS = 64
 
 _FORMS: tuple[Literal['NFC', 'NFD', 'NFKC', 'NFKD'], ...] = ('NFC', 'NFD', 'NFKC', 'NFKD')
 _INDENT = 4
@@ -51,7 +51,7 @@
     state = xxhash.xxh3_64()
     hashes: list[int] = []
     for start in range(0, len(prompt) - BLOCK_BYTES + 1, BLOCK_BYTES):
-        if len(hashes) == MOST_BLOCKS:
+        if len(hashes) == MAX_BLOCKS:
             break
         state.update(prompt[start : start + BLOCK_BYTES])
         hashes.append(state.intdigest())
--- a/packages/callers/src/endivesaddle/callers/context.py
+++ b/packages/callers/src/endivesaddle/callers/context.py
@@ -3,7 +3,7 @@
 from collections.abc import Awaitable, Callable
 from typing import NamedTuple
 
-from endivesaddle.callers.accounts import Keys
+from endivesaddle.callers.accounts import KeyIndex
 from endivesaddle.callers.exchange import Exchange
 from endivesaddle.callers.metrics import Metrics
 from endivesaddle.callers.ports import OperatorPort, StatePort
@@ -21,7 +21,7 @@
     view: FleetView
     operators: OperatorPort
     state: StatePort
-    keys: Keys
+    keys: KeyIndex
     metrics: Metrics
 
 
--- a/packages/callers/src/endivesaddle/callers/exchange.py
+++ b/packages/callers/src/endivesaddle/callers/exchange.py
@@ -75,20 +75,20 @@
         path = self.raw_path.partition('?')[0]
         return f'{path}?{self.query}' if self.query else path
 
-    async def body(self, most_bytes: int) -> bytes | Invalid:
+    async def body(self, max_bytes: int) -> bytes | Invalid:
         """Read the body, within the bounds of size and time."""
         declared = self.headers.get(_LENGTH, '')
-        if declared.isdigit() and int(declared) > most_bytes:
-            return _too_large(most_bytes)
+        if declared.isdigit() and int(declared) > max_bytes:
+            return _too_large(max_bytes)
         with anyio.move_on_after(self._settings.body_within_s):
-            return await self._read(most_bytes)
+            return await self._read(max_bytes)
         return Invalid(
             'body_too_slow',
             f'the body did not arrive within {self._settings.body_within_s} s',
             status=HTTPStatus.REQUEST_TIMEOUT,
         )
 
-    async def gone(self) -> None:
+    async def wait_disconnected(self) -> None:
         """Return when the caller has closed its connection, or leaves its answer unread.
 
         It also drains what is left of a refused body: else the server's queue
@@ -148,28 +148,28 @@
         await self._send(message)
         self._sending_since_s = math.inf
 
-    async def _read(self, most_bytes: int) -> bytes | Invalid:
+    async def _read(self, max_bytes: int) -> bytes | Invalid:
         parts = bytearray()
         while True:
             message = await self._receive()
             if message['type'] == _DISCONNECT:
                 raise CallerGone
             parts += message.get('body', b'')
-            if len(parts) > most_bytes:
-                return _too_large(most_bytes)
+            if len(parts) > max_bytes:
+                return _too_large(max_bytes)
             if not message.get('more_body', False):
                 return bytes(parts)
 
 
-def _too_large(most_bytes: int) -> Invalid:
+def _too_large(max_bytes: int) -> Invalid:
     return Invalid(
         'body_too_large',
-        f'the body is larger than {most_bytes} bytes',
+        f'the body is larger than {max_bytes} bytes',
         status=HTTPStatus.REQUEST_ENTITY_TOO_LARGE,
     )
 
 
-async def live(receive: Receive, send: Send) -> None:
+async def serve_lifespan(receive: Receive, send: Send) -> None:
     """Answer the server's lifespan messages."""
     while True:
         message = await receive()
--- a/packages/callers/src/endivesaddle/callers/forward_app.py
+++ b/packages/callers/src/endivesaddle/callers/forward_app.py
@@ -7,7 +7,7 @@
 import anyio
 
 from endivesaddle.callers import events
-from endivesaddle.callers.exchange import CallerGone, Exchange, Receive, Send, live
+from endivesaddle.callers.exchange import CallerGone, Exchange, Receive, Send, serve_lifespan
 from endivesaddle.callers.forward_metrics import ForwardMetrics
 from endivesaddle.callers.forward_requests import read_head, read_request
 from endivesaddle.callers.refusals import Invalid, error_body, refuse
@@ -128,7 +128,7 @@
     async def __call__(self, scope: MutableMapping[str, Any], receive: Receive, send: Send) -> None:
         """Serve one ASGI scope."""
         if scope['type'] == 'lifespan':
-            await live(receive, send)
+            await serve_lifespan(receive, send)
             return
         if scope['type'] != 'http':
             await send({'type': 'websocket.close'})
@@ -165,7 +165,7 @@
         self, exchange: Exchange, request: ForwardRequest, scope: anyio.CancelScope
     ) -> None:
         """End the work when the caller leaves: nobody would get what it brings."""
-        await exchange.gone()
+        await exchange.wait_disconnected()
         if not exchange.ending:
             run_events.GONE.log(request_id=request.request_id)
         scope.cancel()
@@ -178,7 +178,7 @@
         if book is None:
             return _STARTING
         read = await self._checked(exchange, book)
-        return refuse(read, alone=True) if isinstance(read, Invalid) else read
+        return refuse(read, no_earlier_attempt=True) if isinstance(read, Invalid) else read
 
     async def _checked(self, exchange: Exchange, book: RouteBook) -> ForwardRequest | Invalid:
         head = read_head(exchange, book)
@@ -201,7 +201,7 @@
     async def __call__(self, scope: MutableMapping[str, Any], receive: Receive, send: Send) -> None:
         """Serve one ASGI scope."""
         if scope['type'] == 'lifespan':
-            await live(receive, send)
+            await serve_lifespan(receive, send)
             return
         ready = self._ready()
         if ready is not self._was:
--- a/packages/callers/src/endivesaddle/callers/forward_metrics.py
+++ b/packages/callers/src/endivesaddle/callers/forward_metrics.py
@@ -7,7 +7,7 @@
 import msgspec
 from aioprometheus import Counter, Gauge, Histogram, Registry, render
 
-from endivesaddle.callers.exchange import Receive, Send, live
+from endivesaddle.callers.exchange import Receive, Send, serve_lifespan
 from endivesaddle.fleet.routes.ways import MadeCall
 
 BUCKETS_S = (0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4, 12.8)
@@ -48,7 +48,7 @@
     async def __call__(self, scope: MutableMapping[str, Any], receive: Receive, send: Send) -> None:
         """Serve one ASGI scope: the metrics, or the whole state under ``/state``."""
         if scope['type'] == 'lifespan':
-            await live(receive, send)
+            await serve_lifespan(receive, send)
             return
         if scope['path'] == '/state':
             body = msgspec.json.encode(self._state(), enc_hook=str)
--- a/packages/callers/src/endivesaddle/callers/forward_requests.py
+++ b/packages/callers/src/endivesaddle/callers/forward_requests.py
@@ -10,7 +10,7 @@
 from endivesaddle.fleet.routes.forwarded import ForwardRequest
 from endivesaddle.fleet.routes.header_names import HOP_BY_HOP, LENGTH, HeaderNames
 
-MOST_PARTS = 64
+MAX_PARTS = 64
 """Parts of a prompt that are looked at; more would cost time and tell nothing."""
 _MS = 1000
 
@@ -55,7 +55,7 @@
         account=head.account,
         method=exchange.method,
         target=exchange.target,
-        headers=_passed_on(exchange, header_names),
+        headers=_forwarded_headers(exchange, header_names),
         body=body,
         deadline_unix_s=deadline_unix_s,
         end_unix_s=min(deadline_unix_s, began_unix_s + head.route.timeout_ms / _MS),
@@ -67,7 +67,9 @@
     )
 
 
-def _passed_on(exchange: Exchange, header_names: HeaderNames) -> tuple[tuple[str, str], ...]:
+def _forwarded_headers(
+    exchange: Exchange, header_names: HeaderNames
+) -> tuple[tuple[str, str], ...]:
     named = exchange.headers.get('connection', '').lower()
     own = {name.strip() for name in named.split(',')} | {LENGTH, header_names.last_event}
     dropped = HOP_BY_HOP | header_names.reserved | own
@@ -88,4 +90,4 @@
 def _parts(text: str) -> tuple[tuple[str, int], ...]:
     """Read "id:tokens" entries, separated by commas."""
     entries = [entry.strip().partition(':') for entry in text.split(',') if entry.strip()]
-    return tuple((part, int(tokens)) for part, _, tokens in entries[:MOST_PARTS])
+    return tuple((part, int(tokens)) for part, _, tokens in entries[:MAX_PARTS])
--- a/packages/callers/src/endivesaddle/callers/limits.py
+++ b/packages/callers/src/endivesaddle/callers/limits.py
@@ -17,7 +17,7 @@
 
 _SAFE_METHODS = frozenset(('GET', 'HEAD'))
 _BOOLEANS = MappingProxyType({'true': True, 'false': False})
-_LEAST_URGENT = 1000
+_MAX_PRIORITY = 1000
 
 
 class Choices(NamedTuple):
@@ -85,9 +85,9 @@
     text = exchange.headers.get(PRIORITY)
     if text is None:
         return account.priority
-    if not text.isdecimal() or int(text) > _LEAST_URGENT:
+    if not text.isdecimal() or int(text) > _MAX_PRIORITY:
         return Invalid(
-            'invalid_priority', f'{PRIORITY} takes a number from 0 to {_LEAST_URGENT}', PRIORITY
+            'invalid_priority', f'{PRIORITY} takes a number from 0 to {_MAX_PRIORITY}', PRIORITY
         )
     return max(account.priority, int(text))
 
--- a/packages/callers/src/endivesaddle/callers/models.py
+++ b/packages/callers/src/endivesaddle/callers/models.py
@@ -49,7 +49,7 @@
     document = _document(raw, bodies.CHAT_FIELDS)
     if isinstance(document, Invalid):
         return document
-    body = _shaped(document, bodies.ChatBody)
+    body = _convert(document, bodies.ChatBody)
     if isinstance(body, Invalid):
         return body
     model = models.get(body['model'])
@@ -68,7 +68,7 @@
     document = _document(raw, bodies.COMPLETION_FIELDS)
     if isinstance(document, Invalid):
         return document
-    body = _shaped(document, bodies.CompletionBody)
+    body = _convert(document, bodies.CompletionBody)
     if isinstance(body, Invalid):
         return body
     model = models.get(body['model'])
@@ -93,7 +93,7 @@
     return document
 
 
-def _shaped(document: dict[str, Any], shape: type[Shape]) -> Shape | Invalid:
+def _convert(document: dict[str, Any], shape: type[Shape]) -> Shape | Invalid:
     try:
         return msgspec.convert(document, shape)
     except msgspec.ValidationError as error:
@@ -206,7 +206,7 @@
 
 
 def _completion_prompt(prompt: Any, model: Model) -> Prompt | Invalid:
-    prompts = prompt if _is_several(prompt) else [prompt]
+    prompts = prompt if _is_list_of_prompts(prompt) else [prompt]
     bound_tokens = 0
     for one in prompts:
         bound = _one_prompt(one)
@@ -217,7 +217,7 @@
     return Prompt(bound_tokens, first.encode('utf-8', 'surrogatepass'), len(prompts))
 
 
-def _is_several(prompt: Any) -> bool:
+def _is_list_of_prompts(prompt: Any) -> bool:
     return isinstance(prompt, list) and bool(prompt) and isinstance(prompt[0], (str, list))
 
 
--- a/packages/callers/src/endivesaddle/callers/operating.py
+++ b/packages/callers/src/endivesaddle/callers/operating.py
@@ -13,7 +13,7 @@
 from endivesaddle.callers.refusals import Invalid, error_body, error_document, refuse
 from endivesaddle.fleet.errors import UserError
 
-_MOST_ID_CHARACTERS = 128
+_MAX_ID_CHARACTERS = 128
 _FAILED = 'command_failed'
 _CODES: Mapping[int, str] = MappingProxyType(
     {
@@ -26,7 +26,7 @@
 )
 
 Line = Annotated[str, msgspec.Meta(min_length=1)]
-ChangeId = Annotated[str, msgspec.Meta(max_length=_MOST_ID_CHARACTERS)]
+ChangeId = Annotated[str, msgspec.Meta(max_length=_MAX_ID_CHARACTERS)]
 
 
 class CommandBody(TypedDict, total=False):
@@ -40,17 +40,17 @@
 async def run_command(context: Context, exchange: Exchange) -> None:
     """Run one command of the operators' language."""
     if not exchange.bearer:
-        return await _turn_away(exchange, _no_operator())
+        return await _send_refusal(exchange, _no_operator())
     command = await _read_command(exchange, context.settings.max_command_bytes)
     if isinstance(command, Invalid):
-        return await _turn_away(exchange, command)
+        return await _send_refusal(exchange, command)
     change_id = command.get('change_id', '')
     try:
         status, document = await context.operators.command(
             exchange.bearer, command['line'], change_id
         )
     except UserError as error:
-        return await _turn_away(exchange, Invalid('invalid_command', str(error), 'line'))
+        return await _send_refusal(exchange, Invalid('invalid_command', str(error), 'line'))
     events.COMMAND.log(change_id=change_id, status=status)
     if status >= HTTPStatus.BAD_REQUEST:
         document = {**document, 'error': _error(status, document)}
@@ -58,13 +58,13 @@
 
 
 @routes.add('GET /healthz')
-async def tell_alive(context: Context, exchange: Exchange) -> None:
+async def show_health(context: Context, exchange: Exchange) -> None:
     """Tell that the process answers; true also while it leaves."""
     await exchange.reply_json(HTTPStatus.OK, {'status': 'ok'})
 
 
 @routes.add('GET /readyz')
-async def tell_ready(context: Context, exchange: Exchange) -> None:
+async def show_readiness(context: Context, exchange: Exchange) -> None:
     """Tell the balancer whether to send requests here."""
     ready, reason = context.state.ready()
     if context.state.leaving():
@@ -88,12 +88,12 @@
 async def show_state(context: Context, exchange: Exchange) -> None:
     """Show the state of this process to an operator."""
     if context.keys.operator(exchange.bearer) is None:
-        return await _turn_away(exchange, _no_operator())
+        return await _send_refusal(exchange, _no_operator())
     await exchange.reply_json(HTTPStatus.OK, context.state.dump())
 
 
-async def _read_command(exchange: Exchange, most_bytes: int) -> CommandBody | Invalid:
-    body = await exchange.body(most_bytes)
+async def _read_command(exchange: Exchange, max_bytes: int) -> CommandBody | Invalid:
+    body = await exchange.body(max_bytes)
     if isinstance(body, Invalid):
         return body
     try:
@@ -104,9 +104,9 @@
 
 def _error(status: int, document: dict[str, Any]) -> dict[str, Any]:
     """Return the error object of a failed command, beside what its reply says in full."""
-    told = document.get('error') or '\n'.join(document.get('messages', ()))
-    failed = Invalid(_CODES.get(status, _FAILED), told, status=status)
-    refusal = refuse(failed, alone=status != HTTPStatus.GATEWAY_TIMEOUT)
+    message = document.get('error') or '\n'.join(document.get('messages', ()))
+    failed = Invalid(_CODES.get(status, _FAILED), message, status=status)
+    refusal = refuse(failed, no_earlier_attempt=status != HTTPStatus.GATEWAY_TIMEOUT)
     error: dict[str, Any] = error_document(refusal)['error']
     return error
 
@@ -120,6 +120,6 @@
     )
 
 
-async def _turn_away(exchange: Exchange, invalid: Invalid) -> None:
-    refusal = refuse(invalid, alone=True)
+async def _send_refusal(exchange: Exchange, invalid: Invalid) -> None:
+    refusal = refuse(invalid, no_earlier_attempt=True)
     await exchange.reply(refusal.status, error_body(refusal, param=invalid.param))
--- a/packages/callers/src/endivesaddle/callers/refusals.py
+++ b/packages/callers/src/endivesaddle/callers/refusals.py
@@ -38,17 +38,17 @@
 _SERVER_TYPE = 'server_error'
 
 
-def refuse(invalid: Invalid, alone: bool) -> Refusal:
+def refuse(invalid: Invalid, no_earlier_attempt: bool) -> Refusal:
     """Turn bad input into a refusal of the request as a whole.
 
-    This attempt was handed to nobody.  ``alone`` tells that there can't be an
+    This attempt was handed to nobody.  ``no_earlier_attempt`` tells that there can't be an
     earlier attempt of the same request, so that "not run" is the whole truth;
     else an earlier one may have run, and this side can't know.
     """
     return Refusal(
         code=invalid.code,
         reason=invalid.reason,
-        not_run=NOT_RUN if alone else RUN_UNKNOWN,
+        not_run=NOT_RUN if no_earlier_attempt else RUN_UNKNOWN,
         status=int(invalid.status),
         retry_after_s=invalid.retry_after_s,
     )
--- a/packages/callers/src/endivesaddle/callers/relay.py
+++ b/packages/callers/src/endivesaddle/callers/relay.py
@@ -21,7 +21,7 @@
 
 _EVENT_STREAM = 'text/event-stream'
 _EVENT_ENDS = (b'\n\n', b'\n\r\n')
-_MOST_HELD_EVENT_BYTES = 1_048_576
+_MAX_HELD_EVENT_BYTES = 1_048_576
 _CLOSE_WITHIN_S = 5
 _OWN_HEADERS = frozenset(
     ('connection', 'date', 'keep-alive', 'server', 'transfer-encoding', REQUEST_ID, ATTEMPT)
@@ -46,7 +46,7 @@
 
     async def run(self, answer: Answer) -> End:
         """Relay a whole answer; ``chunks`` is closed however it ends."""
-        headers = _passed_on(answer, self._request_id)
+        headers = _forwarded_headers(answer, self._request_id)
         streamed = dict(headers).get('content-type', '').startswith(_EVENT_STREAM)
         try:
             if streamed:
@@ -150,7 +150,7 @@
         found = data.rfind(mark)
         if found >= 0:
             end = max(end, found + len(mark))
-    if end == 0 and len(data) > _MOST_HELD_EVENT_BYTES:
+    if end == 0 and len(data) > _MAX_HELD_EVENT_BYTES:
         return data, b''
     return data[:end], data[end:]
 
@@ -179,7 +179,7 @@
     )
 
 
-def _passed_on(answer: Answer, request_id: str) -> list[tuple[str, str]]:
+def _forwarded_headers(answer: Answer, request_id: str) -> list[tuple[str, str]]:
     passed = [
         (name.lower(), text) for name, text in answer.headers if name.lower() not in _OWN_HEADERS
     ]
--- a/packages/callers/src/endivesaddle/callers/serving.py
+++ b/packages/callers/src/endivesaddle/callers/serving.py
@@ -97,7 +97,7 @@
 async def _watch(
     context: Context, exchange: Exchange, request: CallerRequest, scope: anyio.CancelScope
 ) -> None:
-    await exchange.gone()
+    await exchange.wait_disconnected()
     # The server says so too when the answer has ended.  To cancel then would hit the
     # server's own last send, and leave the connection half done.
     if exchange.ending and not exchange.stalled:
@@ -123,9 +123,9 @@
 
 
 async def _refuse(context: Context, exchange: Exchange, name: Name, invalid: Invalid) -> None:
-    refusal = refuse(invalid, alone=name.first_attempt)
+    refusal = refuse(invalid, no_earlier_attempt=name.first_attempt)
     async with anyio.create_task_group() as group:
-        group.start_soon(exchange.gone)
+        group.start_soon(exchange.wait_disconnected)
         await send_refusal(context, exchange, refusal, name.request_id, invalid.param)
         group.cancel_scope.cancel()
 
--- a/packages/fleet/src/endivesaddle/fleet/requests/calls.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/calls.py
@@ -49,14 +49,14 @@
         self._data_centre = data_centre
 
     @property
-    def alone(self) -> bool:
+    def no_earlier_attempt(self) -> bool:
         """Tell whether no earlier attempt of the request can exist."""
         return self.request.first_attempt or not self.request.named
 
     @property
     def first_attempt(self) -> bool:
         """Tell whether nothing of the request can be known to any holder."""
-        return self.alone and not self.may_be_claimed
+        return self.no_earlier_attempt and not self.may_be_claimed
 
     @property
     def target(self) -> str:
