--- a/features/subjects/requests_fakes.py
+++ b/features/subjects/requests_fakes.py
@@ -8,7 +8,14 @@
 
 from endivesaddle.fleet.configuration import Configuration, shard_of
 from endivesaddle.fleet.identity import Identity
-from endivesaddle.fleet.seams import Choice, EngineEvent, NeverSent, Reserved, ServerLost, Want
+from endivesaddle.fleet.seams import (
+    Choice,
+    EngineEvent,
+    NeverSent,
+    Reserved,
+    RoutingRequest,
+    ServerLost,
+)
 from endivesaddle.fleet.sentinels import NOT_RUN, NotHolder, Refusal
 from endivesaddle.wire import members_pb2, runs_pb2
 
@@ -93,7 +100,9 @@
         self.refuse = False
         self.wait_s = 0.0
 
-    async def admit(self, want: Want, exclude: frozenset[str] = frozenset()) -> Choice | Refusal:
+    async def admit(
+        self, routing_request: RoutingRequest, exclude: frozenset[str] = frozenset()
+    ) -> Choice | Refusal:
         """Choose a server."""
         await anyio.sleep(self.wait_s)
         free = [name for name in self.servers if name not in exclude]
@@ -102,10 +111,12 @@
         self.admitted += 1
         return Choice(free[0], self.servers[free[0]], 0)
 
-    def first_token(self, choice: Choice, want: Want) -> None:
+    def first_token(self, choice: Choice, routing_request: RoutingRequest) -> None:
         """Nothing to learn."""
 
-    def ended(self, choice: Choice, want: Want, ok: bool, used_tokens: int) -> None:
+    def ended(
+        self, choice: Choice, routing_request: RoutingRequest, ok: bool, used_tokens: int
+    ) -> None:
         """Count."""
         self.told += 1
 
--- a/features/subjects/routing.py
+++ b/features/subjects/routing.py
@@ -12,7 +12,7 @@
 from endivesaddle.fleet.configuration import Account, BackendServer, Configuration
 from endivesaddle.fleet.identity import Identity
 from endivesaddle.fleet.routing import Admission, RoutingSettings
-from endivesaddle.fleet.seams import Choice, Want
+from endivesaddle.fleet.seams import Choice, RoutingRequest
 from endivesaddle.fleet.sentinels import Refusal
 from endivesaddle.wire import members_pb2, runs_pb2
 
@@ -81,7 +81,7 @@
         """Start the admission of one router."""
         self.view = FixedView(engines, slots)
         self.clock = LoopClock()
-        self.running: list[tuple[Choice, Want]] = []
+        self.running: list[tuple[Choice, RoutingRequest]] = []
         self.outcomes: dict[str, Choice | Refusal] = {}
         self.took_s = 0.0
         self.last: Choice | Refusal | None = None
@@ -104,10 +104,10 @@
         identity = Identity(instance, 'router', 'porto-a', 'one', '', 1)
         return Admission(RoutingSettings(), identity, self.view, self.clock)
 
-    def want(self, **changes: Any) -> Want:
+    def routing_request(self, **changes: Any) -> RoutingRequest:
         """Return a request of its own prefix, due in 60 seconds."""
         self._number += 1
-        plain = Want(
+        plain = RoutingRequest(
             request_key=f'{changes.get("account", "ateliers")}/{self._number}',
             account='ateliers',
             kind='engine',
@@ -122,40 +122,42 @@
         )
         return plain._replace(**changes)
 
-    async def admit(self, want: Want, exclude: frozenset[str] = frozenset()) -> Choice | Refusal:
+    async def admit(
+        self, routing_request: RoutingRequest, exclude: frozenset[str] = frozenset()
+    ) -> Choice | Refusal:
         """Ask for a place, and note what came out and after how long."""
         asked_unix_s = self.clock.now_s()
-        self.last = await self.admission.admit(want, exclude)
+        self.last = await self.admission.admit(routing_request, exclude)
         self.took_s = self.clock.now_s() - asked_unix_s
-        self.outcomes[want.request_key] = self.last
+        self.outcomes[routing_request.request_key] = self.last
         if isinstance(self.last, Choice):
-            self.running.append((self.last, want))
+            self.running.append((self.last, routing_request))
         return self.last
 
     async def ask(self, exclude: Iterable[str] = (), **changes: Any) -> Choice | Refusal:
         """Ask for a place for a new request."""
-        return await self.admit(self.want(**changes), frozenset(exclude))
+        return await self.admit(self.routing_request(**changes), frozenset(exclude))
 
     async def place(self, count: int, **changes: Any) -> None:
         """Place requests at once; each has to be placed without waiting."""
         for _ in range(count):
-            choice = await self.admit(self.want(**changes))
+            choice = await self.admit(self.routing_request(**changes))
             assert isinstance(choice, Choice), choice
             assert not self.took_s, self.took_s
 
     async def wait_with(self, count: int, **changes: Any) -> None:
         """Let requests wait for a place."""
         for _ in range(count):
-            await self._start(self.admit(self.want(**changes)))
+            await self._start(self.admit(self.routing_request(**changes)))
 
     async def end(self, count: int, after_s: float = 0, **told: Any) -> None:
         """End the oldest runs, with their first token half-way."""
         for _ in range(count):
-            choice, want = self.running.pop(0)
-            self.admission.first_token(choice, want)
+            choice, routing_request = self.running.pop(0)
+            self.admission.first_token(choice, routing_request)
             await anyio.sleep(after_s)
             ended = {'ok': True, 'used_tokens': MAX_TOKENS, **told}
-            self.admission.ended(choice, want, **ended)
+            self.admission.ended(choice, routing_request, **ended)
             await anyio.wait_all_tasks_blocked()
 
     async def report(self, server: str, age_s: float = 0, **fields: Any) -> None:
@@ -189,9 +191,9 @@
 
     async def cancel_when_placed(self) -> None:
         """End a run, so that a waiting request is placed, and cancel that one unheard."""
-        waiter = await self._start(self.admit(self.want()))
-        choice, want = self.running.pop(0)
-        self.admission.ended(choice, want, ok=True, used_tokens=MAX_TOKENS)
+        waiter = await self._start(self.admit(self.routing_request()))
+        choice, routing_request = self.running.pop(0)
+        self.admission.ended(choice, routing_request, ok=True, used_tokens=MAX_TOKENS)
         waiter.cancel()
         await anyio.wait_all_tasks_blocked()
 
@@ -199,24 +201,24 @@
         """Have runs on one server fail, one after the other."""
         others = frozenset(self.view.configuration.servers) - {server}
         for _ in range(count):
-            choice = await self.admit(self.want(prefix_hashes=(PREFIX,)), others)
+            choice = await self.admit(self.routing_request(prefix_hashes=(PREFIX,)), others)
             assert isinstance(choice, Choice), choice
             await self.end(1, ok=False, used_tokens=0)
         self.outcomes.clear()
 
     async def refuse_at_once(self) -> None:
         """End the oldest run before it began."""
-        choice, want = self.running.pop(0)
-        self.admission.ended(choice, want, ok=True, used_tokens=0)
+        choice, routing_request = self.running.pop(0)
+        self.admission.ended(choice, routing_request, ok=True, used_tokens=0)
         self.outcomes.clear()
 
     async def never_ran(self, count: int) -> None:
         """Place requests whose attempts never begin."""
         for _ in range(count):
-            want = self.want()
-            choice = await self.admission.admit(want)
+            routing_request = self.routing_request()
+            choice = await self.admission.admit(routing_request)
             assert isinstance(choice, Choice), choice
-            self.admission.ended(choice, want, ok=True, used_tokens=0)
+            self.admission.ended(choice, routing_request, ok=True, used_tokens=0)
 
     async def _start(self, work: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]:
         """Start a task that outlives the step, and let it run until it waits."""
--- a/packages/fleet/src/endivesaddle/fleet/requests/answering.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/answering.py
@@ -67,7 +67,7 @@
         choice = call.choice
         call.choice = None
         if choice is not None:
-            self._routing.ended(choice, call.want(), ok, used_tokens)
+            self._routing.ended(choice, call.routing_request(), ok, used_tokens)
 
     async def _read_first(
         self, call: Call, follower: Follower, pieces: AsyncGenerator[bytes, None]
@@ -77,7 +77,7 @@
         held = bytearray()
         async for piece in pieces:
             if piece and not held and call.choice is not None:
-                self._routing.first_token(call.choice, call.want())
+                self._routing.first_token(call.choice, call.routing_request())
             held += piece
             if len(held) >= held_bytes and follower.end is None:
                 break
--- a/packages/fleet/src/endivesaddle/fleet/requests/call_executor.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/call_executor.py
@@ -116,12 +116,12 @@
 
     async def _admit(self, call: Call) -> Choice | Refusal:
         excluded = frozenset(call.excluded | call.passed_over)
-        choice = await self._routing.admit(call.want(), excluded)
+        choice = await self._routing.admit(call.routing_request(), excluded)
         if isinstance(choice, Refusal) and call.passed_over:
             # Those that refused for now may take it a little later.
             call.passed_over.clear()
             await anyio.sleep(self._context.settings.retry_pause_s * call.tries)
-            choice = await self._routing.admit(call.want(), frozenset(call.excluded))
+            choice = await self._routing.admit(call.routing_request(), frozenset(call.excluded))
         return choice
 
     def _placement(self, call: Call, choice: Choice) -> Placement:
--- a/packages/fleet/src/endivesaddle/fleet/requests/calls.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/calls.py
@@ -5,7 +5,7 @@
 
 import xxhash
 
-from endivesaddle.fleet.seams import CallerRequest, Choice, Want
+from endivesaddle.fleet.seams import CallerRequest, Choice, RoutingRequest
 from endivesaddle.wire import holders_pb2
 
 SERVICE = 'service'
@@ -71,10 +71,10 @@
         record = self.record
         return Placement(record.attempt, record.server, record.sidecar, record.sidecar_incarnation)
 
-    def want(self) -> Want:
-        """Return what the request wants of a backend server."""
+    def routing_request(self) -> RoutingRequest:
+        """Return what the request requires of a backend server."""
         request = self.request
-        return Want(
+        return RoutingRequest(
             request_key=request.key,
             account=request.account,
             kind=request.kind,
--- a/packages/fleet/src/endivesaddle/fleet/routing/admission.py
+++ b/packages/fleet/src/endivesaddle/fleet/routing/admission.py
@@ -21,7 +21,7 @@
 from endivesaddle.fleet.routing.retries import Retries
 from endivesaddle.fleet.routing.settings import RoutingSettings
 from endivesaddle.fleet.routing.table import Group, GroupKey, key_of
-from endivesaddle.fleet.seams import Choice, Want
+from endivesaddle.fleet.seams import Choice, RoutingRequest
 from endivesaddle.fleet.sentinels import Refusal
 
 DEFAULT_MAX_QUEUED = 64
@@ -57,9 +57,11 @@
             for key in list(self._queues):
                 self._serve(key)
 
-    async def admit(self, want: Want, exclude: frozenset[str] = frozenset()) -> Choice | Refusal:
+    async def admit(
+        self, routing_request: RoutingRequest, exclude: frozenset[str] = frozenset()
+    ) -> Choice | Refusal:
         """Choose a backend server, waiting in a bounded queue if need be."""
-        outcome = self._at_once(want, exclude)
+        outcome = self._at_once(routing_request, exclude)
         if isinstance(outcome, Waiting):
             outcome = await self._wait(outcome)
         if isinstance(outcome, Refusal):
@@ -68,17 +70,19 @@
             self._counts['placed'] += 1
         return outcome
 
-    def first_token(self, choice: Choice, want: Want) -> None:
+    def first_token(self, choice: Choice, routing_request: RoutingRequest) -> None:
         """Learn that the first token came."""
-        self._placement.first_token(choice, want)
+        self._placement.first_token(choice, routing_request)
 
-    def ended(self, choice: Choice, want: Want, ok: bool, used_tokens: int) -> None:
+    def ended(
+        self, choice: Choice, routing_request: RoutingRequest, ok: bool, used_tokens: int
+    ) -> None:
         """Learn that a run ended, well or not; always called once after ``admit``."""
-        self._placement.ended(choice, want, ok, used_tokens)
+        self._placement.ended(choice, routing_request, ok, used_tokens)
         self._counts['ended_ok' if ok else 'ended_failed'] += 1
         if ok and used_tokens:
-            self._retries.succeeded(want.account)
-        self._serve(key_of(want))
+            self._retries.succeeded(routing_request.account)
+        self._serve(key_of(routing_request))
 
     def may_retry(self, account: str) -> bool:
         """Spend from the retry budget; False when it is used up."""
@@ -104,60 +108,72 @@
             'counters': self.counters(),
         }
 
-    def _at_once(self, want: Want, exclude: frozenset[str]) -> Choice | Refusal | Waiting:
+    def _at_once(
+        self, routing_request: RoutingRequest, exclude: frozenset[str]
+    ) -> Choice | Refusal | Waiting:
         """Place or refuse a request now, or let it wait."""
-        group = self._group(want, exclude)
+        group = self._group(routing_request, exclude)
         if group is None:
-            return refusals.no_server(want, self._random)
-        if self._clock.now_s() >= want.deadline_unix_s:
+            return refusals.no_server(routing_request, self._random)
+        if self._clock.now_s() >= routing_request.deadline_unix_s:
             return refusals.deadline('the deadline has passed')
         queue = self._queues.setdefault(group.key, Queue())
         server = None
-        if not queue.ahead_of(want):
-            server = self._placement.choose(group, want, exclude)
+        if not queue.ahead_of(routing_request):
+            server = self._placement.choose(group, routing_request, exclude)
         if server is None:
-            return self._enqueued(group, queue, Waiting(want, exclude, self._latest(group, want)))
-        late = self._late(group, want, self._placement.first_token_s(server, want))
-        return late or self._placement.send(group, want, server)
-
-    def _group(self, want: Want, exclude: frozenset[str]) -> Group | None:
+            return self._enqueued(
+                group,
+                queue,
+                Waiting(routing_request, exclude, self._latest(group, routing_request)),
+            )
+        late = self._late(
+            group, routing_request, self._placement.first_token_s(server, routing_request)
+        )
+        return late or self._placement.send(group, routing_request, server)
+
+    def _group(self, routing_request: RoutingRequest, exclude: frozenset[str]) -> Group | None:
         """Return the servers that a request may go to, None where there is none."""
-        group = self._placement.group(want)
+        group = self._placement.group(routing_request)
         if group is not None and self._any_eligible(group, exclude):
             return group
         # Failure: a server was declared or joined since the last look.  Symptom: its
         # first requests are refused though the members show it.  A refusal is rare
         # and final, so it rests on a look made for it.
         self._placement.table.look_now()
-        group = self._placement.group(want)
+        group = self._placement.group(routing_request)
         if group is not None and self._any_eligible(group, exclude):
             return group
         return None
 
     def _enqueued(self, group: Group, queue: Queue, waiting: Waiting) -> Refusal | Waiting:
         """Let a request wait, unless its account's line is full or it would wait in vain."""
-        want = waiting.want
-        wait_s = (queue.ahead_of(want) + 1) * group.holding_s / max(1, group.outstanding)
-        account = self._view.configuration.accounts.get(want.account)
+        routing_request = waiting.routing_request
+        wait_s = (queue.ahead_of(routing_request) + 1) * group.holding_s / max(1, group.outstanding)
+        account = self._view.configuration.accounts.get(routing_request.account)
         most = account.max_queued if account else DEFAULT_MAX_QUEUED
-        if queue.count(want.account) >= most:
-            return refusals.too_many(want.account, wait_s, self._random)
+        if queue.count(routing_request.account) >= most:
+            return refusals.too_many(routing_request.account, wait_s, self._random)
         spare_s = waiting.latest_unix_s - self._clock.now_s()
         if spare_s < 0 or (group.outstanding and CAUTION * wait_s > spare_s):
             reason = f'all servers are busy for about {wait_s:.1f} s'
             return refusals.overloaded(reason, wait_s - spare_s, self._random)
-        if len(queue) >= self._settings.routing_queued and not self._yielded(queue, want, wait_s):
+        if len(queue) >= self._settings.routing_queued and not self._yielded(
+            queue, routing_request, wait_s
+        ):
             return refusals.overloaded('too many requests wait', wait_s, self._random)
         queue.push(waiting)
         return waiting
 
-    def _yielded(self, queue: Queue, want: Want, wait_s: float) -> bool:
+    def _yielded(self, queue: Queue, routing_request: RoutingRequest, wait_s: float) -> bool:
         """Turn away one that has less claim to wait than a newcomer, if there is one."""
         last = queue.last()
-        if last is None or last.want.priority > want.priority:
+        if last is None or last.routing_request.priority > routing_request.priority:
             return False
-        longer = queue.count(last.want.account) > queue.count(want.account) + 1
-        if last.want.priority == want.priority and not longer:
+        longer = (
+            queue.count(last.routing_request.account) > queue.count(routing_request.account) + 1
+        )
+        if last.routing_request.priority == routing_request.priority and not longer:
             return False
         queue.remove(last)
         last.decide(refusals.overloaded('made way for another request', wait_s, self._random))
@@ -185,38 +201,44 @@
         its hearing; the slot would count as taken for ever.
         """
         if waiting.outcome is None:
-            self._queues[key_of(waiting.want)].remove(waiting)
+            self._queues[key_of(waiting.routing_request)].remove(waiting)
         elif isinstance(waiting.outcome, Choice):
-            self._placement.ended(waiting.outcome, waiting.want, ok=True, used_tokens=0)
+            self._placement.ended(waiting.outcome, waiting.routing_request, ok=True, used_tokens=0)
 
     def _serve(self, key: GroupKey) -> None:
         """Place waiting requests while there is room."""
         queue = self._queues.get(key)
         while queue:
             waiting = queue.first()
-            group = self._placement.group(waiting.want)
-            server = group and self._placement.choose(group, waiting.want, waiting.exclude)
+            group = self._placement.group(waiting.routing_request)
+            server = group and self._placement.choose(
+                group, waiting.routing_request, waiting.exclude
+            )
             if not group or not server:
                 return
             queue.take(waiting)
-            waiting.decide(self._placement.send(group, waiting.want, server))
+            waiting.decide(self._placement.send(group, waiting.routing_request, server))
 
     def _any_eligible(self, group: Group, exclude: frozenset[str]) -> bool:
         return any(self._placement.eligible(server, exclude) for server in group.servers)
 
-    def _latest(self, group: Group, want: Want) -> float:
+    def _latest(self, group: Group, routing_request: RoutingRequest) -> float:
         """Return until when a place is of use: the answer has to end by the deadline."""
-        return want.deadline_unix_s - CAUTION * self._placement.answer_s(group, want)
+        return routing_request.deadline_unix_s - CAUTION * self._placement.answer_s(
+            group, routing_request
+        )
 
-    def _late(self, group: Group, want: Want, first_s: float) -> Refusal | None:
+    def _late(
+        self, group: Group, routing_request: RoutingRequest, first_s: float
+    ) -> Refusal | None:
         """Refuse what can't end by its deadline, but not on old knowledge alone.
 
         Failure: one slow spell teaches that answers take long, all are refused,
         and nothing runs that could teach otherwise.  With nothing of this
         router's under way the request goes and is the measurement.
         """
-        spare_s = want.deadline_unix_s - self._clock.now_s()
-        lacking_s = CAUTION * (first_s + self._placement.answer_s(group, want)) - spare_s
+        spare_s = routing_request.deadline_unix_s - self._clock.now_s()
+        lacking_s = CAUTION * (first_s + self._placement.answer_s(group, routing_request)) - spare_s
         if lacking_s <= 0 or not group.outstanding:
             return None
         reason = f'the answer would be late by about {lacking_s:.1f} s'
--- a/packages/fleet/src/endivesaddle/fleet/routing/expected.py
+++ b/packages/fleet/src/endivesaddle/fleet/routing/expected.py
@@ -3,7 +3,7 @@
 from endivesaddle.fleet.identity import Identity
 from endivesaddle.fleet.routing.servers import Server
 from endivesaddle.fleet.routing.table import Group
-from endivesaddle.fleet.seams import Want
+from endivesaddle.fleet.seams import RoutingRequest
 
 SAME_DATA_CENTRE_S = 0.0002
 OTHER_DATA_CENTRE_S = 0.001
@@ -19,17 +19,19 @@
         self._identity = identity
         self.regions: dict[str, str] = {}
 
-    def first_token_s(self, server: Server, want: Want, cached_share: float) -> float:
+    def first_token_s(
+        self, server: Server, routing_request: RoutingRequest, cached_share: float
+    ) -> float:
         """Return seconds until the first token: the way, the wait for a slot, the prefill."""
         until_s = self.network_s(server.declared.data_centre) + server.wait_s()
-        if want.kind == 'service':
+        if routing_request.kind == 'service':
             return until_s + server.holding_s
-        unread_tokens = server.prefilling_tokens + uncached_tokens(want, cached_share)
+        unread_tokens = server.prefilling_tokens + uncached_tokens(routing_request, cached_share)
         return until_s + unread_tokens * server.prefill_s_per_token
 
-    def answer_s(self, group: Group, want: Want) -> float:
+    def answer_s(self, group: Group, routing_request: RoutingRequest) -> float:
         """Return seconds from the first token to the last."""
-        return group.answer_s_per_max_token * want.max_tokens
+        return group.answer_s_per_max_token * routing_request.max_tokens
 
     def network_s(self, data_centre: str) -> float:
         """Return seconds to a data centre and back."""
@@ -40,6 +42,10 @@
         return OTHER_REGION_S
 
 
-def uncached_tokens(want: Want, cached_share: float) -> float:
+def uncached_tokens(routing_request: RoutingRequest, cached_share: float) -> float:
     """Return the prompt tokens that a server has to read; a call's cost is nothing to read."""
-    return 0 if want.kind == 'service' else want.prompt_tokens * (1 - cached_share)
+    return (
+        0
+        if routing_request.kind == 'service'
+        else routing_request.prompt_tokens * (1 - cached_share)
+    )
--- a/packages/fleet/src/endivesaddle/fleet/routing/placement.py
+++ b/packages/fleet/src/endivesaddle/fleet/routing/placement.py
@@ -12,7 +12,7 @@
 from endivesaddle.fleet.routing.servers import Sent, Server
 from endivesaddle.fleet.routing.settings import RoutingSettings
 from endivesaddle.fleet.routing.table import Group, Table, key_of
-from endivesaddle.fleet.seams import Choice, Want
+from endivesaddle.fleet.seams import Choice, RoutingRequest
 
 DEFAULT_POLICIES = (('engine', 'earliest_first_token'), ('service', 'least_outstanding'))
 """Policy for each kind of backend server, where none is declared."""
@@ -40,11 +40,11 @@
         self._expected = Expected(identity)
         self._policies: dict[str, Policy] = {}
 
-    def group(self, want: Want) -> Group | None:
+    def group(self, routing_request: RoutingRequest) -> Group | None:
         """Return the servers that a request may go to, as of now; None when there are none."""
         self.table.refresh(self._clock.now_s())
         self._expected.regions = self._view.configuration.data_centres
-        group = self.table.groups.get(key_of(want))
+        group = self.table.groups.get(key_of(routing_request))
         return group if group and group.servers else None
 
     def eligible(self, server: Server, exclude: frozenset[str]) -> bool:
@@ -53,43 +53,50 @@
             return False
         return server.load is None or not server.load.leaving
 
-    def choose(self, group: Group, want: Want, exclude: frozenset[str]) -> Server | None:
+    def choose(
+        self, group: Group, routing_request: RoutingRequest, exclude: frozenset[str]
+    ) -> Server | None:
         """Choose a server with room; where all are set aside, one of them; else None."""
         now_unix_s = self._clock.now_s()
 
         def is_open(server: Server) -> bool:
             return server.has_room() and server.well(now_unix_s) and self.eligible(server, exclude)
 
-        question = Question(want, group, is_open, self._expected, self.prefixes, self._random)
+        question = Question(
+            routing_request, group, is_open, self._expected, self.prefixes, self._random
+        )
         server = self._policy(group.key[0]).choose(question)
         return server or self._least_bad(group, exclude, now_unix_s)
 
-    def first_token_s(self, server: Server, want: Want) -> float:
+    def first_token_s(self, server: Server, routing_request: RoutingRequest) -> float:
         """Return seconds until the first token, were the request sent there now."""
-        share = self.prefixes.shares(want.prefix_hashes).get(server.name, 0)
-        return self._expected.first_token_s(server, want, share)
+        share = self.prefixes.shares(routing_request.prefix_hashes).get(server.name, 0)
+        return self._expected.first_token_s(server, routing_request, share)
 
-    def send(self, group: Group, want: Want, server: Server) -> Choice:
+    def send(self, group: Group, routing_request: RoutingRequest, server: Server) -> Choice:
         """Note that a request goes to a server now."""
         now_unix_s = self._clock.now_s()
-        share = self.prefixes.shares(want.prefix_hashes).get(server.name, 0)
-        expected_unix_s = now_unix_s + self._expected.first_token_s(server, want, share)
-        tokens = uncached_tokens(want, share)
+        share = self.prefixes.shares(routing_request.prefix_hashes).get(server.name, 0)
+        expected_unix_s = now_unix_s + self._expected.first_token_s(server, routing_request, share)
+        tokens = uncached_tokens(routing_request, share)
         server.sent(
-            want.request_key, Sent(now_unix_s, expected_unix_s, tokens, server.prefilling_tokens)
+            routing_request.request_key,
+            Sent(now_unix_s, expected_unix_s, tokens, server.prefilling_tokens),
         )
-        server.health.sent(want.request_key)
+        server.health.sent(routing_request.request_key)
         group.outstanding += 1
-        self.prefixes.confirm(server.name, want.prefix_hashes, now_unix_s)
+        self.prefixes.confirm(server.name, routing_request.prefix_hashes, now_unix_s)
         return Choice(server.name, server.member.address, expected_unix_s)
 
-    def first_token(self, choice: Choice, want: Want) -> None:
+    def first_token(self, choice: Choice, routing_request: RoutingRequest) -> None:
         """Learn that the first token came."""
         server = self.table.servers.get(choice.server)
         if server is not None:
-            server.first_token(want.request_key, self._clock.now_s())
+            server.first_token(routing_request.request_key, self._clock.now_s())
 
-    def ended(self, choice: Choice, want: Want, ok: bool, used_tokens: int) -> None:
+    def ended(
+        self, choice: Choice, routing_request: RoutingRequest, ok: bool, used_tokens: int
+    ) -> None:
         """Learn that a run ended, well or not.
 
         A run that ended well but gave no token and used none was never
@@ -99,35 +106,37 @@
         if server is None:
             return
         now_unix_s = self._clock.now_s()
-        sent = server.ended(want.request_key, now_unix_s)
+        sent = server.ended(routing_request.request_key, now_unix_s)
         if sent is None:
             return
-        group = self.table.groups[key_of(want)]
+        group = self.table.groups[key_of(routing_request)]
         group.outstanding -= 1
         if ok and (sent.first_unix_s or used_tokens):
-            self._answered(server, want, sent, now_unix_s)
+            self._answered(server, routing_request, sent, now_unix_s)
         elif ok:
-            server.health.withdrawn(want.request_key)
+            server.health.withdrawn(routing_request.request_key)
             server.passed_over(sent, now_unix_s)
         else:
-            self._failed(server, want, now_unix_s)
+            self._failed(server, routing_request, now_unix_s)
 
-    def answer_s(self, group: Group, want: Want) -> float:
+    def answer_s(self, group: Group, routing_request: RoutingRequest) -> float:
         """Return the expected seconds from the first token to the last."""
-        return self._expected.answer_s(group, want)
+        return self._expected.answer_s(group, routing_request)
 
-    def _answered(self, server: Server, want: Want, sent: Sent, now_unix_s: float) -> None:
+    def _answered(
+        self, server: Server, routing_request: RoutingRequest, sent: Sent, now_unix_s: float
+    ) -> None:
         held_s = now_unix_s - sent.sent_unix_s
         answer_s = now_unix_s - (sent.first_unix_s or now_unix_s)
-        group = self.table.groups[key_of(want)]
-        pace = group.pace(answer_s, want.max_tokens)
-        group.learn(held_s, answer_s, want.max_tokens)
+        group = self.table.groups[key_of(routing_request)]
+        pace = group.pace(answer_s, routing_request.max_tokens)
+        group.learn(held_s, answer_s, routing_request.max_tokens)
         server.learn(held_s, pace)
-        probed = server.health.probe == want.request_key
+        probed = server.health.probe == routing_request.request_key
         shown = pace if probed else server.pace
         if shown > SLOW_PACE and (probed or group.may_spare(now_unix_s)):
             self._slow(server, now_unix_s)
-        elif server.health.succeeded(want.request_key):
+        elif server.health.succeeded(routing_request.request_key):
             server.pace = 1.0
             events.SERVER_BACK.log(server=server.name)
 
@@ -140,9 +149,9 @@
         server.health.slow(now_unix_s, self._random)
         events.SERVER_SLOW.log(server=server.name, pace=round(server.pace, 2))
 
-    def _failed(self, server: Server, want: Want, now_unix_s: float) -> None:
-        self.prefixes.evict(server.name, want.prefix_hashes)
-        if server.health.failed(want.request_key, now_unix_s, self._random):
+    def _failed(self, server: Server, routing_request: RoutingRequest, now_unix_s: float) -> None:
+        self.prefixes.evict(server.name, routing_request.prefix_hashes)
+        if server.health.failed(routing_request.request_key, now_unix_s, self._random):
             events.SERVER_ASIDE.log(
                 server=server.name, until_unix_s=server.health.aside_until_unix_s
             )
--- a/packages/fleet/src/endivesaddle/fleet/routing/policies.py
+++ b/packages/fleet/src/endivesaddle/fleet/routing/policies.py
@@ -16,7 +16,7 @@
 from endivesaddle.fleet.routing.prefixes import Prefixes
 from endivesaddle.fleet.routing.servers import Server
 from endivesaddle.fleet.routing.table import Group
-from endivesaddle.fleet.seams import Want
+from endivesaddle.fleet.seams import RoutingRequest
 
 SMALL_GROUP = 16
 """Up to so many servers all are compared; beyond, a sample of them."""
@@ -31,9 +31,9 @@
 
 
 class Question(NamedTuple):
-    """What a policy is asked: a place for ``want`` among the open servers of a group."""
+    """What a policy is asked: a place for ``routing_request`` among the open servers of a group."""
 
-    want: Want
+    routing_request: RoutingRequest
     group: Group
     is_open: Callable[[Server], bool]
     expected: Expected
@@ -86,7 +86,7 @@
 
     def choose(self, question: Question) -> Server | None:
         """Return the first open server on the hash ring."""
-        homes = question.group.around(head_hash(question.want))
+        homes = question.group.around(head_hash(question.routing_request))
         return next((server for server in homes if question.is_open(server)), None)
 
 
@@ -96,11 +96,11 @@
 
     def choose(self, question: Question) -> Server | None:
         """Return the open server with the earliest expected first token."""
-        want = question.want
-        shares = question.prefixes.shares(want.prefix_hashes)
+        routing_request = question.routing_request
+        shares = question.prefixes.shares(routing_request.prefix_hashes)
         expected = question.expected
         timed = [
-            (expected.first_token_s(server, want, shares.get(server.name, 0)), server)
+            (expected.first_token_s(server, routing_request, shares.get(server.name, 0)), server)
             for server in _opened(question, _shortlist(question, shares))
         ]
         if not timed:
@@ -110,11 +110,15 @@
         return min(near, key=Server.occupied)
 
 
-def head_hash(want: Want) -> int:
+def head_hash(routing_request: RoutingRequest) -> int:
     """Return the hash of a prompt's head, or of the account where there is none."""
-    if want.prefix_hashes:
-        return want.prefix_hashes[min(HEAD_BLOCKS, len(want.prefix_hashes)) - 1]
-    return xxhash.xxh3_64_intdigest(f'{want.account}/{want.model}{want.service}'.encode())
+    if routing_request.prefix_hashes:
+        return routing_request.prefix_hashes[
+            min(HEAD_BLOCKS, len(routing_request.prefix_hashes)) - 1
+        ]
+    return xxhash.xxh3_64_intdigest(
+        f'{routing_request.account}/{routing_request.model}{routing_request.service}'.encode()
+    )
 
 
 def _opened(question: Question, servers: Sequence[Server]) -> list[Server]:
@@ -152,6 +156,6 @@
 
 
 def _homes(question: Question) -> Iterator[Server]:
-    around = question.group.around(head_hash(question.want))
+    around = question.group.around(head_hash(question.routing_request))
     for _ in range(HOMES):
         yield next(around)
--- a/packages/fleet/src/endivesaddle/fleet/routing/queues.py
+++ b/packages/fleet/src/endivesaddle/fleet/routing/queues.py
@@ -10,16 +10,18 @@
 
 import anyio
 
-from endivesaddle.fleet.seams import Choice, Want
+from endivesaddle.fleet.seams import Choice, RoutingRequest
 from endivesaddle.fleet.sentinels import Refusal
 
 
 class Waiting:
     """One request that waits; ``outcome`` is set once, with ``decided``."""
 
-    def __init__(self, want: Want, exclude: frozenset[str], latest_unix_s: float) -> None:
+    def __init__(
+        self, routing_request: RoutingRequest, exclude: frozenset[str], latest_unix_s: float
+    ) -> None:
         """Wait for a dispatch that still makes sense until ``latest_unix_s``."""
-        self.want = want
+        self.routing_request = routing_request
         self.exclude = exclude
         self.latest_unix_s = latest_unix_s
         self.outcome: Choice | Refusal | None = None
@@ -89,15 +91,15 @@
 
     def push(self, waiting: Waiting) -> None:
         """Append a request to its account's line."""
-        account = waiting.want.account
-        lines = self._lines.setdefault(waiting.want.priority, {})
+        account = waiting.routing_request.account
+        lines = self._lines.setdefault(waiting.routing_request.priority, {})
         lines.setdefault(account, deque()).append(waiting)
         self._counts[account] = self.count(account) + 1
 
     def remove(self, waiting: Waiting) -> None:
         """Take a request out; it must be waiting."""
-        account = waiting.want.account
-        priority = waiting.want.priority
+        account = waiting.routing_request.account
+        priority = waiting.routing_request.priority
         line = self._lines[priority][account]
         line.remove(waiting)
         if not line:
@@ -110,9 +112,11 @@
 
     def take(self, waiting: Waiting) -> None:
         """Take a request out because it is placed, and charge its account."""
-        want = waiting.want
-        self.shares.level(self.shares.start(want.account))
-        self.shares.charge(want.account, want.prompt_tokens + want.max_tokens)
+        routing_request = waiting.routing_request
+        self.shares.level(self.shares.start(routing_request.account))
+        self.shares.charge(
+            routing_request.account, routing_request.prompt_tokens + routing_request.max_tokens
+        )
         self.remove(waiting)
         if not self._counts:
             self.shares = Shares()
@@ -132,14 +136,16 @@
         lines = self._lines[min(self._lines)]
         return max(lines.values(), key=len)[-1]
 
-    def ahead_of(self, want: Want) -> int:
+    def ahead_of(self, routing_request: RoutingRequest) -> int:
         """Return how many are served before a newcomer.
 
         Of higher priorities all; of its own priority, from each account at
         most as many as the newcomer's account has waiting.
         """
-        higher = [lines for priority, lines in self._lines.items() if priority > want.priority]
+        higher = [
+            lines for priority, lines in self._lines.items() if priority > routing_request.priority
+        ]
         before = sum(len(line) for lines in higher for line in lines.values())
-        own = self._lines.get(want.priority, {})
-        mine = len(own.get(want.account, ()))
+        own = self._lines.get(routing_request.priority, {})
+        mine = len(own.get(routing_request.account, ()))
         return before + sum(min(len(line), mine + 1) for line in own.values())
--- a/packages/fleet/src/endivesaddle/fleet/routing/refusals.py
+++ b/packages/fleet/src/endivesaddle/fleet/routing/refusals.py
@@ -2,7 +2,7 @@
 
 from random import Random
 
-from endivesaddle.fleet.seams import Want
+from endivesaddle.fleet.seams import RoutingRequest
 from endivesaddle.fleet.sentinels import NOT_RUN, Refusal
 
 UNAVAILABLE = 503
@@ -13,9 +13,9 @@
 """Share by which advice varies, so that those refused together don't return together."""
 
 
-def no_server(want: Want, random: Random) -> Refusal:
+def no_server(routing_request: RoutingRequest, random: Random) -> Refusal:
     """Refuse because no backend server is live for what is wanted."""
-    name = want.service or want.model
+    name = routing_request.service or routing_request.model
     return Refusal(
         code='no_backend_server',
         reason=f'no backend server for {name!r} is live',
--- a/packages/fleet/src/endivesaddle/fleet/routing/table.py
+++ b/packages/fleet/src/endivesaddle/fleet/routing/table.py
@@ -14,7 +14,7 @@
 from endivesaddle.fleet.routing.prefixes import Prefixes
 from endivesaddle.fleet.routing.servers import LEARNING_RATE, Server
 from endivesaddle.fleet.routing.settings import RoutingSettings
-from endivesaddle.fleet.seams import Want
+from endivesaddle.fleet.seams import RoutingRequest
 from endivesaddle.wire import runs_pb2
 
 MOST_PACE = 4.0
@@ -27,9 +27,12 @@
 Signature = tuple[tuple[str, str, str], ...]
 
 
-def key_of(want: Want) -> GroupKey:
+def key_of(routing_request: RoutingRequest) -> GroupKey:
     """Return what a request needs a server for: its kind, and its model or service."""
-    return want.kind, want.service if want.kind == 'service' else want.model
+    return (
+        routing_request.kind,
+        routing_request.service if routing_request.kind == 'service' else routing_request.model,
+    )
 
 
 class Group:
--- a/packages/fleet/src/endivesaddle/fleet/seams.py
+++ b/packages/fleet/src/endivesaddle/fleet/seams.py
@@ -132,7 +132,7 @@
         """Take in what ran under sealed epochs; ``complete``: nothing is missing."""
 
 
-class Want(NamedTuple):
+class RoutingRequest(NamedTuple):
     """What a request wants of a backend server.
 
     ``prefix_hashes`` are xxh3 hashes of the prompt's growing prefixes, block by
@@ -163,13 +163,17 @@
 class Routing(Protocol):
     """Admission and choice of backend servers in a router."""
 
-    async def admit(self, want: Want, exclude: frozenset[str] = frozenset()) -> Choice | Refusal:
+    async def admit(
+        self, routing_request: RoutingRequest, exclude: frozenset[str] = frozenset()
+    ) -> Choice | Refusal:
         """Choose a backend server, waiting in a bounded queue if need be."""
 
-    def first_token(self, choice: Choice, want: Want) -> None:
+    def first_token(self, choice: Choice, routing_request: RoutingRequest) -> None:
         """Learn that the first token came."""
 
-    def ended(self, choice: Choice, want: Want, ok: bool, used_tokens: int) -> None:
+    def ended(
+        self, choice: Choice, routing_request: RoutingRequest, ok: bool, used_tokens: int
+    ) -> None:
         """Learn that a run ended, well or not; always called once after ``admit``."""
 
     def may_retry(self, account: str) -> bool:
--- a/packages/stand_ins/src/endivesaddle/stand_ins/batching_bench.py
+++ b/packages/stand_ins/src/endivesaddle/stand_ins/batching_bench.py
@@ -13,7 +13,7 @@
 from endivesaddle.fleet.clock import LoopClock
 from endivesaddle.fleet.identity import Identity
 from endivesaddle.fleet.routing import Admission, RoutingSettings
-from endivesaddle.fleet.seams import Choice, Want
+from endivesaddle.fleet.seams import Choice, RoutingRequest
 from endivesaddle.fleet.sentinels import Refusal
 from endivesaddle.stand_ins.batching import BatchingEngine, EngineModel, Job
 from endivesaddle.stand_ins.batching_faults import Faults
@@ -86,51 +86,60 @@
     async def _serve(self, request: TraceRequest) -> None:
         """Have one request answered, as a router's front does."""
         router = self.router(request.router)
-        want = self._want(request)
+        routing_request = self._routing_request(request)
         tried: frozenset[str] = frozenset()
         outcome = 'again'
         while outcome == 'again':
-            choice = await router.admit(want, tried)
+            choice = await router.admit(routing_request, tried)
             if isinstance(choice, Refusal):
-                outcome = self._refused(want, request)
+                outcome = self._refused(routing_request, request)
                 break
             tried = frozenset() if len(tried) > MOST_TRIED else tried | {choice.server}
-            outcome = await self._attempt(router, choice, want, request)
+            outcome = await self._attempt(router, choice, routing_request, request)
         self.tally.ended(request, outcome)
 
     async def _attempt(
-        self, router: Admission, choice: Choice, want: Want, request: TraceRequest
+        self,
+        router: Admission,
+        choice: Choice,
+        routing_request: RoutingRequest,
+        request: TraceRequest,
     ) -> str:
         """Run one attempt at a server; return good, late, failed or again."""
         engine = self.engines[choice.server]
         await anyio.sleep(NETWORK_S)
         if engine.leaving or self._full(engine):
-            router.ended(choice, want, ok=True, used_tokens=0)
+            router.ended(choice, routing_request, ok=True, used_tokens=0)
             return 'again'
         work = request.work
         job = Job(request.prompt_tokens, request.answer_tokens, work.priority, request.hashes)
         engine.submit(job)
         outcome = 'late'
-        with anyio.move_on_after(max(0, want.deadline_unix_s - self.clock.now_s())):
-            outcome = await self._follow(router, choice, want, request, job)
+        with anyio.move_on_after(max(0, routing_request.deadline_unix_s - self.clock.now_s())):
+            outcome = await self._follow(router, choice, routing_request, request, job)
         if outcome == 'late':
             engine.cancel(job)
         ok = outcome != 'failed'
         used_tokens = request.prompt_tokens + request.answer_tokens if outcome == 'good' else 0
-        router.ended(choice, want, ok, used_tokens)
-        if not ok and router.may_retry(want.account):
+        router.ended(choice, routing_request, ok, used_tokens)
+        if not ok and router.may_retry(routing_request.account):
             return 'again'
         return outcome
 
     async def _follow(
-        self, router: Admission, choice: Choice, want: Want, request: TraceRequest, job: Job
+        self,
+        router: Admission,
+        choice: Choice,
+        routing_request: RoutingRequest,
+        request: TraceRequest,
+        job: Job,
     ) -> str:
         """Follow an answer to its end, or until its engine has been dead for a while."""
         async with anyio.create_task_group() as following:
             died = partial(self._died, choice.server, following.cancel_scope)
             following.start_soon(died)
             await job.first.wait()
-            router.first_token(choice, want)
+            router.first_token(choice, routing_request)
             took_s = self.now_s() + NETWORK_S - request.at_s
             self.tally.first_token(request, took_s, job.cached_tokens)
             await job.done.wait()
@@ -147,9 +156,9 @@
         most = self.run.most_running
         return 0 < most <= engine.running + engine.waiting
 
-    def _refused(self, want: Want, request: TraceRequest) -> str:
+    def _refused(self, routing_request: RoutingRequest, request: TraceRequest) -> str:
         """Tell a refusal from a false one: some engine would have answered in time."""
-        left_s = want.deadline_unix_s - self.clock.now_s()
+        left_s = routing_request.deadline_unix_s - self.clock.now_s()
         could = any(
             engine.could_end_s(request.prompt_tokens, request.answer_tokens, request.hashes)
             < left_s
@@ -157,9 +166,9 @@
         )
         return 'false_refusal' if could else 'refused'
 
-    def _want(self, request: TraceRequest) -> Want:
+    def _routing_request(self, request: TraceRequest) -> RoutingRequest:
         work = request.work
-        return Want(
+        return RoutingRequest(
             request_key=request.key,
             account=request.account,
             kind='engine',
--- a/tools/bench_slopes.py
+++ b/tools/bench_slopes.py
@@ -25,7 +25,7 @@
 from endivesaddle.fleet.routing.prefixes import Prefixes
 from endivesaddle.fleet.routing.queues import Queue, Waiting
 from endivesaddle.fleet.routing.retries import Retries
-from endivesaddle.fleet.seams import Choice, Want
+from endivesaddle.fleet.seams import Choice, RoutingRequest
 from endivesaddle.wire import members_pb2, runs_pb2
 
 SERVERS = (8, 80, 800)
@@ -97,25 +97,27 @@
         self.clock = SteppedClock()
         settings = RoutingSettings()
         self.admission = Admission(settings, IDENTITY, SizedView(servers, policy), self.clock)
-        self._wants = [_want(number, self.clock.now_s()) for number in range(DECISIONS)]
-        self._placed: list[tuple[Choice, Want]] = []
+        self._routing_requests = [
+            _routing_request(number, self.clock.now_s()) for number in range(DECISIONS)
+        ]
+        self._placed: list[tuple[Choice, RoutingRequest]] = []
         for _ in range(ROUNDS):
             self.admit()
             self.end()
 
     def admit(self) -> None:
         """Admit all requests; each is placed without waiting."""
-        for want in self._wants:
-            choice = _result(self.admission.admit(want))
-            self._placed.append((choice, want))
+        for routing_request in self._routing_requests:
+            choice = _result(self.admission.admit(routing_request))
+            self._placed.append((choice, routing_request))
 
     def end(self) -> None:
         """Have all of them answered."""
-        for choice, want in self._placed:
-            self.admission.first_token(choice, want)
+        for choice, routing_request in self._placed:
+            self.admission.first_token(choice, routing_request)
         self.clock.now_unix_s += 0.05
-        for choice, want in self._placed:
-            self.admission.ended(choice, want, ok=True, used_tokens=100)
+        for choice, routing_request in self._placed:
+            self.admission.ended(choice, routing_request, ok=True, used_tokens=100)
         self._placed.clear()
 
 
@@ -194,7 +196,7 @@
     """Return a queue of so many requests; their wants and events are counted."""
     queue = Queue()
     for number in range(size):
-        queue.push(Waiting(_want(number, 1.7e9), frozenset(), 1.7e9))
+        queue.push(Waiting(_routing_request(number, 1.7e9), frozenset(), 1.7e9))
     return queue
 
 
@@ -203,8 +205,8 @@
     placement = make_servers(800)
     group = next(iter(placement.table.groups.values()))
     for number in range(size):
-        want = _want(number, 1.7e9)._replace(prefix_hashes=())
-        placement.send(group, want, group.servers[number % len(group.servers)])
+        routing_request = _routing_request(number, 1.7e9)._replace(prefix_hashes=())
+        placement.send(group, routing_request, group.servers[number % len(group.servers)])
     return placement
 
 
@@ -253,11 +255,11 @@
     return BackendServer(name, f'dc-{number % DATA_CENTRES}', '', 'engine', ('boards',), slots=24)
 
 
-def _want(number: int, now_unix_s: float) -> Want:
+def _routing_request(number: int, now_unix_s: float) -> RoutingRequest:
     project = number % 50
     shared = [project * BLOCKS + block for block in range(BLOCKS - 4)]
     own = [1 << 40 | number * BLOCKS + block for block in range(4)]
-    return Want(
+    return RoutingRequest(
         request_key=f'account-{project}/{number}',
         account=f'account-{project}',
         kind='engine',
