--- a/features/steps/cold_bursts_steps.py
+++ b/features/steps/cold_bursts_steps.py
@@ -37,4 +37,4 @@
 def kept(context: Any) -> None:
     """Look at when the oldest one that is kept counts no more."""
     now_unix_s = context.warm.now_unix_s
-    assert context.warm.backend.sending_free_unix_s(now_unix_s) >= now_unix_s
+    assert context.warm.backend.next_send_unix_s(now_unix_s) >= now_unix_s
--- a/features/steps/neighbours_steps.py
+++ b/features/steps/neighbours_steps.py
@@ -27,7 +27,9 @@
 def count(context: Any, requests: int, tokens: int) -> None:
     """Look at their lanes."""
     for backend in context.cut.backends()[1:]:
-        assert (backend.in_flight, backend.reading_tokens) == (requests, tokens), backend.in_flight
+        assert (backend.in_flight, backend.prefilling_tokens) == (requests, tokens), (
+            backend.in_flight
+        )
 
 
 @then('the other routers know that its shared part lies there')
--- a/features/steps/placing_steps.py
+++ b/features/steps/placing_steps.py
@@ -120,9 +120,9 @@
         failing = now_unix_s < seconds
         if failing or now_unix_s > MENDED_S:
             context.met['failing' if failing else 'mended'].append(backend is backends[0])
-        backend.sent(want, now_unix_s)
-        backend.ended(want)
-        backend.fared(not failing or backend is not backends[0], now_unix_s)
+        backend.start_request(want, now_unix_s)
+        backend.end_request(want)
+        backend.record_outcome(not failing or backend is not backends[0], now_unix_s)
 
 
 @then('it is met by at most {most:d} of 100 requests while it fails')
--- a/features/subjects/desks.py
+++ b/features/subjects/desks.py
@@ -106,12 +106,12 @@
         self._carried += 1
         backend = self.backends.of(self._servers[self._carried % len(self._servers)])
         want = ForwardWant(f'r-{self._carried}', 'engines', (), tokens, 100)
-        backend.sent(want, self._clock.now_s())
+        backend.start_request(want, self._clock.now_s())
         await anyio.sleep(ENDS_S / 2)
-        backend.began(want)
+        backend.first_event(want)
         self.router.changed(backend, soon=tokens >= LONG_TOKENS)
         await anyio.sleep(ENDS_S / 2)
-        backend.ended(want)
+        backend.end_request(want)
         self.router.changed(backend, soon=False)
 
     async def _oldest_s(self) -> float:
--- a/features/subjects/placing.py
+++ b/features/subjects/placing.py
@@ -74,7 +74,7 @@
             backends = self._routers[random.randrange(len(self._routers))]
             setting = Setting(want, backends, 'a', True, now_unix_s, number)
             backend = placing_policies.find(policy)(setting)
-            backend.sent(want, now_unix_s)
+            backend.start_request(want, now_unix_s)
             self._telling.append((now_unix_s + TELL_S, backend.server.lifetime, want))
             first_unix_s = self._engines[backend.server.lifetime].read(want, now_unix_s)
             waiting.append((first_unix_s, backend, want))
@@ -89,7 +89,7 @@
         for _, lifetime, want in due:
             for backends in self._routers:
                 backend = next(one for one in backends if one.server.lifetime == lifetime)
-                backend.hold([want.parts[0][0]], now_unix_s)
+                backend.add_parts([want.parts[0][0]], now_unix_s)
 
 
 def _began(
@@ -97,7 +97,7 @@
 ) -> list[tuple[float, Backend, ForwardWant]]:
     for first_unix_s, backend, want in waiting:
         if first_unix_s <= now_unix_s:
-            backend.ended(want)
+            backend.end_request(want)
     return [entry for entry in waiting if entry[0] > now_unix_s]
 
 
--- a/features/subjects/placing_bursts.py
+++ b/features/subjects/placing_bursts.py
@@ -55,7 +55,7 @@
         backend = placing_policies.find(policy)(
             Setting(want, backends, 'a', True, now_unix_s, self.count)
         )
-        backend.sent(want, now_unix_s)
+        backend.start_request(want, now_unix_s)
         if self._at_once and tokens >= LARGE_TOKENS:
             self._talk_unix_s = min(self._talk_unix_s, now_unix_s + TOLD_S)
         first_unix_s = self._engines[backend.server.lifetime].read(want, now_unix_s)
@@ -66,7 +66,7 @@
     def _began(self, now_unix_s: float) -> None:
         for first_unix_s, backend, want in self._waiting:
             if first_unix_s <= now_unix_s:
-                backend.ended(want)
+                backend.end_request(want)
         self._waiting = [entry for entry in self._waiting if entry[0] > now_unix_s]
 
     def _talk(self, now_unix_s: float) -> None:
@@ -76,7 +76,9 @@
         for own in self._routers:
             others = [backends for backends in self._routers if backends is not own]
             for number, backend in enumerate(own):
-                backend.elsewhere = sum(backends[number].own_in_flight for backends in others)
-                backend.elsewhere_reading = sum(
-                    backends[number].own_reading_tokens for backends in others
+                backend.others_in_flight = sum(
+                    backends[number].own_in_flight for backends in others
+                )
+                backend.others_prefilling_tokens = sum(
+                    backends[number].own_prefilling_tokens for backends in others
                 )
--- a/features/subjects/placing_desks.py
+++ b/features/subjects/placing_desks.py
@@ -42,11 +42,11 @@
 
     def _hear(self, desk: EngineDesk, backend: Backend) -> None:
         others = desk.others(str(self._router), self._load.now_unix_s)
-        backend.heard(others.in_flight, others.reading_tokens, self._load.now_unix_s)
+        backend.apply_sidecar_report(others.in_flight, others.reading_tokens, self._load.now_unix_s)
 
     def _word(self, backend: Backend) -> Word:
         self._load.words += 1
-        load = Load(backend.own_reading_tokens, backend.own_in_flight)
+        load = Load(backend.own_prefilling_tokens, backend.own_in_flight)
         return Word(str(self._router), self._load.words, load)
 
 
@@ -84,7 +84,7 @@
         setting = Setting(want, self._routers[router], 'a', True, self.now_unix_s, self.count)
         policy = placing_policies.find('earliest_first_event')
         backend = await choose(setting, policy, self._ways[router])
-        backend.sent(want, self.now_unix_s)
+        backend.start_request(want, self.now_unix_s)
         name = backend.server.lifetime
         start_unix_s = max(self.now_unix_s, self._free_unix_s[name])
         self._free_unix_s[name] = start_unix_s + tokens / READ_TOKENS_PER_S
@@ -95,7 +95,7 @@
     def _began(self) -> None:
         for first_unix_s, router, backend, want in self._waiting:
             if first_unix_s <= self.now_unix_s:
-                backend.ended(want)
+                backend.end_request(want)
                 self._ways[router].changed(backend, soon=True)
         self._waiting = [entry for entry in self._waiting if entry[0] > self.now_unix_s]
 
@@ -106,7 +106,7 @@
         for number, _ in enumerate(self.desks):
             backends = [backends[number] for backends in self._routers]
             requests = sum(backend.own_in_flight for backend in backends)
-            tokens = sum(backend.own_reading_tokens for backend in backends)
+            tokens = sum(backend.own_prefilling_tokens for backend in backends)
             for backend in backends:
-                backend.elsewhere = requests - backend.own_in_flight
-                backend.elsewhere_reading = tokens - backend.own_reading_tokens
+                backend.others_in_flight = requests - backend.own_in_flight
+                backend.others_prefilling_tokens = tokens - backend.own_prefilling_tokens
--- a/features/subjects/store_relay.py
+++ b/features/subjects/store_relay.py
@@ -179,7 +179,7 @@
         Place(self.routers[router].dispatcher, self.backends()[router], want).begin()
 
     async def _holds(self, backend: Backend) -> bool:
-        return backend.holds(SHARED_PART, self._clock.now_s())
+        return backend.has_part(SHARED_PART, self._clock.now_s())
 
     async def _start(self, routers: int, sidecars: int) -> None:
         for number in range(sidecars):
--- a/packages/fleet/src/endivesaddle/fleet/routes/carrying.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/carrying.py
@@ -122,7 +122,7 @@
             sending=len(self._tried),
             unread_tokens=place.unread_tokens,
             in_flight=place.backend.in_flight,
-            reading_tokens=place.backend.reading_tokens,
+            reading_tokens=place.backend.prefilling_tokens,
             servers_heard_s=self._parts.dispatcher.servers_heard_s(),
         )
         place.begin()
--- a/packages/fleet/src/endivesaddle/fleet/routes/desks.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/desks.py
@@ -55,13 +55,13 @@
         word = self._word(backend)
         word.asked_tokens = tokens
         word.most_tokens = most_tokens
-        backend.asking += 1
-        backend.asking_tokens += tokens
+        backend.pending_requests += 1
+        backend.pending_tokens += tokens
         try:
             reply = await self._enter(address, backend, word)
         finally:
-            backend.asking -= 1
-            backend.asking_tokens -= tokens
+            backend.pending_requests -= 1
+            backend.pending_tokens -= tokens
         return reply is None or reply.taken_up
 
     def changed(self, backend: Backend, soon: bool) -> None:
@@ -107,7 +107,7 @@
             self._avoided.failed(address)
             return None
         self._avoided.answered(address)
-        backend.heard(reply.in_flight, reply.reading_tokens, self._clock.now_s())
+        backend.apply_sidecar_report(reply.in_flight, reply.reading_tokens, self._clock.now_s())
         return reply
 
     def _word(self, backend: Backend) -> EnterRequest:
@@ -115,8 +115,8 @@
         return EnterRequest(
             lifetime=self._lifetime,
             number=next(self._numbers),
-            reading_tokens=backend.own_reading_tokens + backend.asking_tokens,
-            in_flight=backend.own_in_flight + backend.asking,
+            reading_tokens=backend.own_prefilling_tokens + backend.pending_tokens,
+            in_flight=backend.own_in_flight + backend.pending_requests,
         )
 
     def _beside(self, backend: Backend) -> str:
--- a/packages/fleet/src/endivesaddle/fleet/routes/neighbours.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/neighbours.py
@@ -273,7 +273,7 @@
         for sent in word.parts:
             backend = self._parts.dispatcher.backends.find(sent.server)
             if backend is not None:
-                backend.hold(sent.parts, self._clock.now_s())
+                backend.add_parts(sent.parts, self._clock.now_s())
 
     def _sum_up(self) -> None:
         """Add up what the neighbours have under way at each server."""
@@ -285,7 +285,7 @@
             for word in lanes:
                 requests[word.server] += word.in_flight
                 tokens[word.server] += word.reading_tokens
-        self._parts.dispatcher.backends.told(
+        self._parts.dispatcher.backends.apply_reports(
             {server: (count, tokens[server]) for server, count in requests.items()},
             self._clock.now_s(),
         )
@@ -297,7 +297,7 @@
             yield routers_pb2.LaneWord(
                 server=backend.server.lifetime,
                 in_flight=backend.own_in_flight,
-                reading_tokens=backend.own_reading_tokens,
+                reading_tokens=backend.own_prefilling_tokens,
             )
 
 
--- a/packages/fleet/src/endivesaddle/fleet/routing/backends.py
+++ b/packages/fleet/src/endivesaddle/fleet/routing/backends.py
@@ -23,9 +23,9 @@
 PARTS_S = 20.0
 """Prompt parts sent longer ago than this are taken as evicted: an engine under load keeps for so
 long what nobody asks for."""
-HEARD_S = 0.3
+SIDECAR_REPORT_VALID_S = 0.3
 """The word of the sidecar beside a server counts for so long: the other routers' are as old."""
-SENDING_S = 1.0
+SEND_WINDOW_S = 1.0
 """Sendings are counted over this time: what a cold server bears is told by the second."""
 MOST_PARTS = 4000
 """Parts remembered for one server."""
@@ -56,49 +56,49 @@
     def __init__(self, server: RouteServer) -> None:
         """Start with nothing sent.
 
-        ``own_reading_tokens`` are those that this router sent and that are not known to be read.
+        ``own_prefilling_tokens`` were sent by this router and are not known to be processed yet.
         """
         self.server = server
-        self.reading: dict[str, int] = {}
+        self.prefilling: dict[str, int] = {}
         self.running: dict[str, int] = {}
-        self.elsewhere = 0
-        self.elsewhere_reading = 0
-        self.asking_tokens = 0
-        self.asking = 0
-        self.heard_unix_s = 0.0
-        self.silent_until_unix_s = 0.0
-        self.unwanted_until_unix_s = 0.0
-        self._silences = 0
-        self.own_reading_tokens = 0
+        self.others_in_flight = 0
+        self.others_prefilling_tokens = 0
+        self.pending_tokens = 0
+        self.pending_requests = 0
+        self.sidecar_report_unix_s = 0.0
+        self.unreachable_until_unix_s = 0.0
+        self.rejecting_until_unix_s = 0.0
+        self._failed_contacts = 0
+        self.own_prefilling_tokens = 0
         self._parts: OrderedDict[str, float] = OrderedDict()
         self._failed_share = 0.0
         self._failed_unix_s = 0.0
-        self._sendings: deque[float] = deque()
+        self._send_times: deque[float] = deque()
         self._may_be_cold = False
-        self._back_unix_s = 0.0
+        self._reachable_since_unix_s = 0.0
 
     @property
     def own_in_flight(self) -> int:
         """Requests of this router."""
-        return len(self.reading) + len(self.running)
+        return len(self.prefilling) + len(self.running)
 
     @property
     def in_flight(self) -> int:
         """Requests of this router and, as last told, of the others."""
-        return self.own_in_flight + self.elsewhere
+        return self.own_in_flight + self.others_in_flight
 
     @property
-    def reading_tokens(self) -> int:
+    def prefilling_tokens(self) -> int:
         """Prompt tokens on the way to be read, of all routers as last told."""
-        return self.own_reading_tokens + self.elsewhere_reading
+        return self.own_prefilling_tokens + self.others_prefilling_tokens
 
-    def heard(self, requests: int, tokens: int, now_unix_s: float) -> None:
+    def apply_sidecar_report(self, requests: int, tokens: int, now_unix_s: float) -> None:
         """Take in what the sidecar beside the server says that other routers have there."""
-        self.elsewhere = requests
-        self.elsewhere_reading = tokens
-        self.heard_unix_s = now_unix_s
+        self.others_in_flight = requests
+        self.others_prefilling_tokens = tokens
+        self.sidecar_report_unix_s = now_unix_s
 
-    def unread(self, want: ForwardWant, now_unix_s: float) -> int:
+    def uncached_tokens(self, want: ForwardWant, now_unix_s: float) -> int:
         """Return the tokens of a prompt that the server has to read."""
         unread = want.prompt_tokens
         for part, tokens in want.parts:
@@ -108,19 +108,19 @@
             unread -= tokens
         return max(0, unread)
 
-    def holds(self, part: str, now_unix_s: float) -> bool:
+    def has_part(self, part: str, now_unix_s: float) -> bool:
         """Tell whether a part was sent there lately."""
         sent_unix_s = self._parts.get(part)
         return sent_unix_s is not None and now_unix_s - sent_unix_s <= PARTS_S
 
-    def sent(self, want: ForwardWant, now_unix_s: float) -> None:
+    def start_request(self, want: ForwardWant, now_unix_s: float) -> None:
         """Note that a request goes there now."""
-        self._read(want)
-        self.reading[want.key] = self.unread(want, now_unix_s)
-        self.own_reading_tokens += self.reading[want.key]
-        self.hold([part for part, _ in want.parts], now_unix_s)
+        self._end_prefill(want)
+        self.prefilling[want.key] = self.uncached_tokens(want, now_unix_s)
+        self.own_prefilling_tokens += self.prefilling[want.key]
+        self.add_parts([part for part, _ in want.parts], now_unix_s)
 
-    def hold(self, parts: Iterable[str], now_unix_s: float) -> None:
+    def add_parts(self, parts: Iterable[str], now_unix_s: float) -> None:
         """Note that parts of prompts went there now, from here or from another router."""
         for part in parts:
             self._parts[part] = now_unix_s
@@ -128,65 +128,66 @@
         while len(self._parts) > MOST_PARTS:
             self._parts.popitem(last=False)
 
-    def began(self, want: ForwardWant) -> None:
+    def first_event(self, want: ForwardWant) -> None:
         """Note the first event of an answer: its prompt is read."""
-        if self._read(want):
+        if self._end_prefill(want):
             self.running[want.key] = want.prompt_tokens
 
-    def ended(self, want: ForwardWant) -> None:
+    def end_request(self, want: ForwardWant) -> None:
         """Note that nothing of a request is under way there any more."""
-        self._read(want)
+        self._end_prefill(want)
         self.running.pop(want.key, None)
 
-    def fared(self, well: bool, now_unix_s: float) -> None:
+    def record_outcome(self, well: bool, now_unix_s: float) -> None:
         """Note whether an answer was sound."""
         if well:
-            self._silences = 0
-            self._back(now_unix_s)
+            self._failed_contacts = 0
+            self._mark_reachable(now_unix_s)
         self._failed_share = self.failed_share(now_unix_s)
         self._failed_share *= 1 - FAILED_WEIGHT
         if not well:
             self._failed_share += FAILED_WEIGHT
         self._failed_unix_s = now_unix_s
 
-    def silent(self, now_unix_s: float, ended: bool = False) -> None:
+    def mark_unreachable(self, now_unix_s: float, process_ended: bool = False) -> None:
         """Note that the server could not be reached: nothing goes there for a while.
 
-        With ``ended`` its process is gone: it may start again under its name, as others do whose
-        entries tell when they were born, and is cold then before its entry says so.
+        With ``process_ended`` its process is gone.  It may start again under its name and is cold
+        then, before its entry in the store says so; so may a server whose entry tells when it was
+        born.
         """
-        self._may_be_cold = ended or bool(self.server.born_unix_ms)
-        pause_s = min(LONGEST_SILENT_S, SILENT_S * 2**self._silences)
-        self._silences += 1
-        self.silent_until_unix_s = now_unix_s + pause_s
-        self.fared(well=False, now_unix_s=now_unix_s)
+        self._may_be_cold = process_ended or bool(self.server.born_unix_ms)
+        pause_s = min(LONGEST_SILENT_S, SILENT_S * 2**self._failed_contacts)
+        self._failed_contacts += 1
+        self.unreachable_until_unix_s = now_unix_s + pause_s
+        self.record_outcome(well=False, now_unix_s=now_unix_s)
 
     def cold_until_unix_s(self, cold_s: float, now_unix_s: float) -> float:
         """Return until when the server may be cold after it was silent, by what this router met."""
         if self._may_be_cold:
             return now_unix_s + cold_s
-        return self._back_unix_s + cold_s if self._back_unix_s else 0.0
+        return self._reachable_since_unix_s + cold_s if self._reachable_since_unix_s else 0.0
 
-    def count_sending(self, now_unix_s: float) -> None:
+    def record_send(self, now_unix_s: float) -> None:
         """Count a request that goes there now; older ones than a second are forgotten."""
-        self._sendings.append(now_unix_s)
-        self.sent_lately(now_unix_s)
+        self._send_times.append(now_unix_s)
+        self.sent_in_last_second(now_unix_s)
 
-    def sent_lately(self, now_unix_s: float) -> int:
+    def sent_in_last_second(self, now_unix_s: float) -> int:
         """Return how many requests went there within the last second."""
-        while self._sendings and self._sendings[0] <= now_unix_s - SENDING_S:
-            self._sendings.popleft()
-        return len(self._sendings)
+        while self._send_times and self._send_times[0] <= now_unix_s - SEND_WINDOW_S:
+            self._send_times.popleft()
+        return len(self._send_times)
 
-    def sending_free_unix_s(self, now_unix_s: float) -> float:
+    def next_send_unix_s(self, now_unix_s: float) -> float:
         """Return when the oldest of them counts no more."""
-        if not self.sent_lately(now_unix_s):
+        if not self.sent_in_last_second(now_unix_s):
             return now_unix_s
-        return self._sendings[0] + SENDING_S
+        return self._send_times[0] + SEND_WINDOW_S
 
-    def wanted(self, now_unix_s: float) -> bool:
+    def accepts_requests(self, now_unix_s: float) -> bool:
         """Tell whether the server takes requests of this router, as far as it said."""
-        return self.unwanted_until_unix_s <= now_unix_s
+        return self.rejecting_until_unix_s <= now_unix_s
 
     def failed_share(self, now_unix_s: float) -> float:
         """Return the share of failures, old ones forgiven by halves."""
@@ -196,15 +197,15 @@
         share = self._failed_share * 0.5 ** (passed_s / FORGIVEN_S)
         return 0.0 if share < FORGOTTEN_SHARE else share
 
-    def _back(self, now_unix_s: float) -> None:
+    def _mark_reachable(self, now_unix_s: float) -> None:
         if self._may_be_cold:
             self._may_be_cold = False
-            self._back_unix_s = now_unix_s
+            self._reachable_since_unix_s = now_unix_s
 
-    def _read(self, want: ForwardWant) -> bool:
+    def _end_prefill(self, want: ForwardWant) -> bool:
         """Take a prompt off those that are being read; True if it was one of them."""
-        tokens = self.reading.pop(want.key, None)
-        self.own_reading_tokens -= tokens or 0
+        tokens = self.prefilling.pop(want.key, None)
+        self.own_prefilling_tokens -= tokens or 0
         return tokens is not None
 
 
@@ -237,20 +238,20 @@
         """
         for lifetime in set(self._backends) - lifetimes:
             backend = self._backends[lifetime]
-            if not backend.own_in_flight and backend.wanted(now_unix_s):
+            if not backend.own_in_flight and backend.accepts_requests(now_unix_s):
                 del self._backends[lifetime]
 
-    def told(self, loads: dict[str, tuple[int, int]], now_unix_s: float) -> None:
+    def apply_reports(self, loads: dict[str, tuple[int, int]], now_unix_s: float) -> None:
         """Take in what other routers have at each server: requests, and tokens to read.
 
         What the sidecar beside a server said just now is better than their words.
         """
         for lifetime, backend in self._backends.items():
-            if now_unix_s - backend.heard_unix_s < HEARD_S:
+            if now_unix_s - backend.sidecar_report_unix_s < SIDECAR_REPORT_VALID_S:
                 continue
             requests, tokens = loads.get(lifetime, (0, 0))
-            backend.elsewhere = requests
-            backend.elsewhere_reading = tokens
+            backend.others_in_flight = requests
+            backend.others_prefilling_tokens = tokens
 
     def all(self) -> tuple[Backend, ...]:
         """Return every lane."""
--- a/packages/fleet/src/endivesaddle/fleet/routing/candidates.py
+++ b/packages/fleet/src/endivesaddle/fleet/routing/candidates.py
@@ -41,9 +41,9 @@
         """
         servers = self._at_home(request, self._known.of_service(service))
         backends = [self._backends.of(one) for one in servers if one.lifetime not in exclude]
-        backends = [backend for backend in backends if backend.wanted(now_unix_s)]
+        backends = [backend for backend in backends if backend.accepts_requests(now_unix_s)]
         backends = [
-            backend for backend in backends if backend.silent_until_unix_s <= now_unix_s
+            backend for backend in backends if backend.unreachable_until_unix_s <= now_unix_s
         ] or backends
         return [backend for backend in backends if self._bounds.takes(backend, now_unix_s)]
 
@@ -79,4 +79,4 @@
 
     def _free_unix_s(self, backend: Backend, now_unix_s: float) -> float:
         """Return when a server may be sent a request of this router, as far as is known."""
-        return max(backend.unwanted_until_unix_s, self._bounds.free_unix_s(backend, now_unix_s))
+        return max(backend.rejecting_until_unix_s, self._bounds.free_unix_s(backend, now_unix_s))
--- a/packages/fleet/src/endivesaddle/fleet/routing/choosing.py
+++ b/packages/fleet/src/endivesaddle/fleet/routing/choosing.py
@@ -46,7 +46,7 @@
     """
     for asks_left in reversed(range(ASKS)):
         backend = policy(setting)
-        unread = backend.unread(setting.want, setting.now_unix_s)
+        unread = backend.uncached_tokens(setting.want, setting.now_unix_s)
         if unread < ASKED_TOKENS:
             break
         most_tokens = tolerated_tokens(setting, backend) if asks_left else ANY_TOKENS
--- a/packages/fleet/src/endivesaddle/fleet/routing/cold_starts.py
+++ b/packages/fleet/src/endivesaddle/fleet/routing/cold_starts.py
@@ -95,13 +95,13 @@
         """Tell whether a server may be sent a request of this router now."""
         if not self.cold_until_unix_s(backend, now_unix_s):
             return True
-        return backend.sent_lately(now_unix_s) < self._allowed(backend, now_unix_s)
+        return backend.sent_in_last_second(now_unix_s) < self._allowed(backend, now_unix_s)
 
     def enter(self, backend: Backend, now_unix_s: float) -> bool:
         """Count a request for a server, or tell False where a cold one bears no more."""
         if not self.takes(backend, now_unix_s):
             return False
-        backend.count_sending(now_unix_s)
+        backend.record_send(now_unix_s)
         return True
 
     def sends(self, backend: Backend, entered_unix_s: float, now_unix_s: float) -> bool:
@@ -114,7 +114,7 @@
         """Return when a cold server may be sent the next request of this router."""
         until_unix_s = self.cold_until_unix_s(backend, now_unix_s)
         if self._allowed(backend, now_unix_s):
-            until_unix_s = min(until_unix_s, backend.sending_free_unix_s(now_unix_s))
+            until_unix_s = min(until_unix_s, backend.next_send_unix_s(now_unix_s))
         return until_unix_s
 
     def _allowed(self, backend: Backend, now_unix_s: float) -> int:
--- a/packages/fleet/src/endivesaddle/fleet/routing/dispatcher.py
+++ b/packages/fleet/src/endivesaddle/fleet/routing/dispatcher.py
@@ -41,7 +41,7 @@
         """Offer ``backend`` to ``want``."""
         self.backend = backend
         self._entered_unix_s = dispatcher.now_s()
-        self.unread_tokens = backend.unread(want, dispatcher.now_s())
+        self.unread_tokens = backend.uncached_tokens(want, dispatcher.now_s())
         self._dispatcher = dispatcher
         self._want = want
 
@@ -55,7 +55,7 @@
 
     def begin(self) -> None:
         """Note that the request is sent."""
-        self.backend.sent(self._want, self._dispatcher.now_s())
+        self.backend.start_request(self._want, self._dispatcher.now_s())
         self._dispatcher.sent_parts.note(self.backend.server.lifetime, self._want)
         if self.unread_tokens >= LARGE_TOKENS:
             for listener in self._dispatcher.large_listeners:
@@ -67,22 +67,22 @@
         The sidecar beside the engine is told at the first one alone: a call for each event would
         cost more than passing the event on.
         """
-        if self._want.key not in self.backend.reading:
+        if self._want.key not in self.backend.prefilling:
             return
-        self.backend.began(self._want)
+        self.backend.first_event(self._want)
         self._dispatcher.desks.changed(self.backend, soon=self.unread_tokens >= ASKED_TOKENS)
 
     def end(self, well: bool) -> None:
         """Note that nothing is under way there any more."""
-        read = self._want.key not in self.backend.reading
-        self.backend.ended(self._want)
+        read = self._want.key not in self.backend.prefilling
+        self.backend.end_request(self._want)
         soon = not read and self.unread_tokens >= ASKED_TOKENS
         self._dispatcher.desks.changed(self.backend, soon=soon)
-        self.backend.fared(well, self._dispatcher.now_s())
+        self.backend.record_outcome(well, self._dispatcher.now_s())
 
     def silent(self, ended: bool) -> None:
         """Note that the server could not be reached, or that its process ``ended``."""
-        self.backend.silent(self._dispatcher.now_s(), ended)
+        self.backend.mark_unreachable(self._dispatcher.now_s(), ended)
 
     def declined(self) -> None:
         """Note that the server had no room."""
@@ -178,7 +178,7 @@
 
     def takes(self, backend: Backend) -> bool:
         """Tell whether a server may be sent a request now."""
-        return self.known.takes(backend.server) and backend.wanted(self.now_s())
+        return self.known.takes(backend.server) and backend.accepts_requests(self.now_s())
 
     def may_repeat(self, request: ForwardRequest) -> bool:
         """Spend one repeat of the service's share."""
@@ -204,7 +204,7 @@
             backend.server.lifetime: {
                 'own_in_flight': backend.own_in_flight,
                 'in_flight': backend.in_flight,
-                'reading_tokens': backend.reading_tokens,
+                'reading_tokens': backend.prefilling_tokens,
                 'failed_share': round(backend.failed_share(now_unix_s), 3),
                 'cold_s': self._cold_s(backend),
             }
--- a/packages/fleet/src/endivesaddle/fleet/routing/placing.py
+++ b/packages/fleet/src/endivesaddle/fleet/routing/placing.py
@@ -68,7 +68,7 @@
     """
     shared = setting.want.shared_part
     homeless = shared and not any(
-        backend.holds(shared, setting.now_unix_s) for backend in setting.backends
+        backend.has_part(shared, setting.now_unix_s) for backend in setting.backends
     )
     at_home = home(shared, setting.backends) if homeless else None
     return min(
@@ -83,11 +83,11 @@
 
 def _expected_ms(setting: Setting, backend: Backend, at_home: bool) -> float:
     want = setting.want
-    unread = backend.unread(want, setting.now_unix_s)
+    unread = backend.uncached_tokens(want, setting.now_unix_s)
     if at_home and want.parts:
         shared_tokens = want.prompt_tokens - want.parts[-1][1]
         unread -= int(HOME_TRUST * max(0, shared_tokens))
-    wait_ms = (backend.reading_tokens + unread) / PREFILL_TOKENS_PER_MS
+    wait_ms = (backend.prefilling_tokens + unread) / PREFILL_TOKENS_PER_MS
     wait_ms += REQUEST_MS * backend.in_flight
     far_ms = 0.0 if backend.server.data_centre == setting.data_centre else FAR_MS
     return wait_ms + far_ms + FAILURE_MS * backend.failed_share(setting.now_unix_s)
@@ -97,10 +97,10 @@
     """Return how many tokens others may have to read at a lane before another one is better."""
     others = [one for one in setting.backends if one is not backend]
     if not others:
-        return backend.elsewhere_reading
+        return backend.others_prefilling_tokens
     best_ms = min(_expected_ms(setting, one, at_home=False) for one in others)
     more_ms = best_ms + HOP_MS - _expected_ms(setting, backend, at_home=False)
-    return max(0, backend.elsewhere_reading + int(more_ms * PREFILL_TOKENS_PER_MS))
+    return max(0, backend.others_prefilling_tokens + int(more_ms * PREFILL_TOKENS_PER_MS))
 
 
 @placing_policies.add('least_busy')
--- a/packages/fleet/src/endivesaddle/fleet/routing/server_signals.py
+++ b/packages/fleet/src/endivesaddle/fleet/routing/server_signals.py
@@ -48,7 +48,7 @@
     """Note for this router, to which it was said, that a server wants none for a while."""
     wanted_in_s = number(header.text) if header.status == UNAVAILABLE else None
     if wanted_in_s:
-        backend.unwanted_until_unix_s = header.now_unix_s + wanted_in_s
+        backend.rejecting_until_unix_s = header.now_unix_s + wanted_in_s
         events.UNWANTED.log(server=backend.server.lifetime, wanted_in_s=round(wanted_in_s, 3))
 
 
