--- a/packages/fleet/src/endivesaddle/fleet/requests/answering.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/answering.py
@@ -5,7 +5,7 @@
 
 from endivesaddle.fleet.requests import refusals, states
 from endivesaddle.fleet.requests.background import BackgroundTasks
-from endivesaddle.fleet.requests.calls import Call, Placement
+from endivesaddle.fleet.requests.calls import Call, PlacedAttempt
 from endivesaddle.fleet.requests.context import Context
 from endivesaddle.fleet.requests.errors import RunForgotten, RunLost
 from endivesaddle.fleet.requests.finishing import Finisher
@@ -36,12 +36,12 @@
         self._finisher = finisher
         self._background = background
 
-    async def answer(self, call: Call, placement: Placement) -> Answer | Refusal | runs_pb2.End:
+    async def answer(self, call: Call, placed: PlacedAttempt) -> Answer | Refusal | runs_pb2.End:
         """Return the answer, or the end of a run that gave the caller nothing.
 
         A run whose sidecar is lost is an end whose outcome is unknown.
         """
-        follower = Follower(self._context, call.request, placement)
+        follower = Follower(self._context, call.request, placed)
         pieces = follower.pieces()
         try:
             first = await self._read_first(call, follower, pieces)
@@ -118,7 +118,7 @@
 def _answer(opened: OpenedAnswer, chunks: AsyncIterator[bytes]) -> Answer:
     head = opened.follower.head or runs_pb2.Head()
     headers = tuple((header.name, header.value) for header in head.headers)
-    return Answer(head.status, headers, chunks, opened.follower.placement.attempt)
+    return Answer(head.status, headers, chunks, opened.follower.placed.attempt)
 
 
 async def _once(whole: bytes) -> AsyncIterator[bytes]:
--- a/packages/fleet/src/endivesaddle/fleet/requests/call_executor.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/call_executor.py
@@ -4,7 +4,7 @@
 
 from endivesaddle.fleet.requests import refusals, states
 from endivesaddle.fleet.requests.answering import Answering
-from endivesaddle.fleet.requests.calls import Call, Placement
+from endivesaddle.fleet.requests.calls import Call, PlacedAttempt
 from endivesaddle.fleet.requests.context import Context
 from endivesaddle.fleet.requests.events import OUTCOME_UNKNOWN, SIDECAR_LOST
 from endivesaddle.fleet.requests.finishing import Finisher
@@ -69,7 +69,7 @@
 
     async def _follow_again(self, call: Call) -> Answer | Refusal:
         """Follow a run that was given up: it may have gone on and be in reach again."""
-        result = await self._answering.answer(call, call.placement())
+        result = await self._answering.answer(call, call.placed())
         return _refusal_of_ended(call.record) if isinstance(result, runs_pb2.End) else result
 
     def _is_stale(self, record: holders_pb2.Record) -> bool:
@@ -79,17 +79,17 @@
         return waited_s >= self._context.settings.takeover_s or record.router not in addresses
 
     async def _attach(self, call: Call) -> Answer | Refusal | None:
-        placement = call.placement()
+        placed = call.placed()
         if call.record.state == states.ENDED:
             # A start would run it again where the sidecar has forgotten it.
-            return await self._follow(call, placement)
-        if placement.attempt in call.withdrawn:
+            return await self._follow(call, placed)
+        if placed.attempt in call.withdrawn:
             return None
-        if call.request.may_repeat or placement.incarnation:
-            return await self._run(call, placement, own=False)
+        if call.request.may_repeat or placed.incarnation:
+            return await self._run(call, placed, own=False)
         # Without its incarnation a sidecar may have been restarted: a START could
         # run a second time what may not be repeated.
-        return await self._follow(call, placement)
+        return await self._follow(call, placed)
 
     async def _place(self, call: Call) -> Answer | Refusal | None:
         """Choose a backend server and dispatch the next attempt to it."""
@@ -99,11 +99,11 @@
         if isinstance(choice, Refusal):
             return await self._give_up(call, choice)
         call.choice = choice
-        placement = self._placement(call, choice)
-        reason = await self._dispatch(call, placement)
+        placed = self._place_attempt(call, choice)
+        reason = await self._dispatch(call, placed)
         if not reason:
             call.tries += 1
-            return await self._run(call, placement, own=True)
+            return await self._run(call, placed, own=True)
         self._answering.release(call, ok=True)
         if reason == states.NO_COPY:
             return await self._give_up(call, refusals.NO_COPY.refuse(NOT_RUN))
@@ -124,32 +124,32 @@
             choice = await self._routing.admit(call.routing_request(), frozenset(call.excluded))
         return choice
 
-    def _placement(self, call: Call, choice: Choice) -> Placement:
+    def _place_attempt(self, call: Call, choice: Choice) -> PlacedAttempt:
         incarnations = {
             member.address: member.incarnation for member in self._context.view.members('sidecar')
         }
         incarnation = incarnations.get(choice.sidecar, 0)
-        return Placement(call.record.attempt + 1, choice.server, choice.sidecar, incarnation)
+        return PlacedAttempt(call.record.attempt + 1, choice.server, choice.sidecar, incarnation)
 
-    async def _dispatch(self, call: Call, placement: Placement) -> str:
-        step = self._step_factory.step(states.DISPATCHED, placement.attempt, placement.server)
+    async def _dispatch(self, call: Call, placed: PlacedAttempt) -> str:
+        step = self._step_factory.step(states.DISPATCHED, placed.attempt, placed.server)
         reason = await self._holder_client.note(
             call,
             holders_pb2.NoteRequest(
                 request_key=call.request.key,
                 account=call.request.account,
                 state=states.DISPATCHED,
-                attempt=placement.attempt,
-                server=placement.server,
-                sidecar=placement.sidecar,
-                sidecar_incarnation=placement.incarnation,
+                attempt=placed.attempt,
+                server=placed.server,
+                sidecar=placed.sidecar,
+                sidecar_incarnation=placed.incarnation,
                 steps=[step],
                 epoch=call.record.epoch,
                 call_id=call.call_id,
             ),
         )
         if not reason:
-            _apply_dispatch(call.record, placement, step)
+            _apply_dispatch(call.record, placed, step)
         return reason
 
     async def _withdraw(self, call: Call, step_name: str, detail: str) -> str:
@@ -168,29 +168,29 @@
             ),
         )
 
-    async def _run(self, call: Call, placement: Placement, own: bool) -> Answer | Refusal | None:
+    async def _run(self, call: Call, placed: PlacedAttempt, own: bool) -> Answer | Refusal | None:
         holder = self._holder_client.settling_address(call.record)
-        outcome = await self._starter.start(call, placement, holder, own)
+        outcome = await self._starter.start(call, placed, holder, own)
         if outcome.start is Start.RUNNING:
-            return await self._follow(call, placement._replace(attempt=outcome.attempt))
+            return await self._follow(call, placed._replace(attempt=outcome.attempt))
         if outcome.start is Start.NOT_RUN:
-            stopped = await self._stop(call, placement, outcome.reason)
-            return await self._try_other_server(call, placement, stopped, outcome.reason)
-        return await self._handle_lost(call, placement, outcome.reason)
+            stopped = await self._stop(call, placed, outcome.reason)
+            return await self._try_other_server(call, placed, stopped, outcome.reason)
+        return await self._handle_lost(call, placed, outcome.reason)
 
-    async def _stop(self, call: Call, placement: Placement, reason: str) -> bool:
+    async def _stop(self, call: Call, placed: PlacedAttempt, reason: str) -> bool:
         # Another router may know of this dispatch and start it a moment later: a
         # request that may not be repeated would run here and elsewhere.
         if call.request.may_repeat:
             return True
-        return await self._starter.stop(call, placement, reason)
+        return await self._starter.stop(call, placed, reason)
 
     async def _try_other_server(
-        self, call: Call, placement: Placement, stopped: bool, reason: str
+        self, call: Call, placed: PlacedAttempt, stopped: bool, reason: str
     ) -> Answer | Refusal | None:
         """Go to another server with an attempt that did not run; ``stopped``: nor will."""
         self._answering.release(call, ok=False)
-        call.passed_over.add(placement.server)
+        call.passed_over.add(placed.server)
         step_name = states.REFUSED_START if stopped else states.NEVER_SENT
         rejection = await self._withdraw(call, step_name, reason)
         if rejection:
@@ -198,19 +198,19 @@
         call.record.state = states.CLAIMED
         return await self._place(call)
 
-    async def _follow(self, call: Call, placement: Placement) -> Answer | Refusal | None:
+    async def _follow(self, call: Call, placed: PlacedAttempt) -> Answer | Refusal | None:
         call.may_have_run = True
-        result = await self._answering.answer(call, placement)
+        result = await self._answering.answer(call, placed)
         if isinstance(result, runs_pb2.End):
-            return await self._handle_end(call, placement, result)
+            return await self._handle_end(call, placed, result)
         return result
 
     async def _handle_end(
-        self, call: Call, placement: Placement, end: runs_pb2.End
+        self, call: Call, placed: PlacedAttempt, end: runs_pb2.End
     ) -> Answer | Refusal | None:
         """Go on after a run that gave the caller nothing."""
         if end.not_run:
-            return await self._try_other_server(call, placement, stopped=True, reason=end.reason)
+            return await self._try_other_server(call, placed, stopped=True, reason=end.reason)
         if end.outcome == states.CANCELLED:
             self._answering.release(call, ok=True)
             await self._finisher.settle(call, states.CANCELLED, end.used_tokens)
@@ -218,17 +218,17 @@
             if self._context.now_s() >= call.request.deadline_unix_s:
                 kind = refusals.DEADLINE_PASSED
             return kind.refuse(HAS_RUN)
-        return await self._handle_lost(call, placement, end.reason, end)
+        return await self._handle_lost(call, placed, end.reason, end)
 
     async def _handle_lost(
-        self, call: Call, placement: Placement, reason: str, end: runs_pb2.End | None = None
+        self, call: Call, placed: PlacedAttempt, reason: str, end: runs_pb2.End | None = None
     ) -> Answer | Refusal | None:
         """Go on after an attempt that may have run: once more where that is allowed."""
-        SIDECAR_LOST.log(request_key=call.request.key, server=placement.server, reason=reason)
+        SIDECAR_LOST.log(request_key=call.request.key, server=placed.server, reason=reason)
         call.may_have_run = True
-        call.excluded.add(placement.server)
+        call.excluded.add(placed.server)
         self._answering.release(call, ok=False)
-        call.steps.append(self._step_factory.step(states.LOST, placement.attempt, reason))
+        call.steps.append(self._step_factory.step(states.LOST, placed.attempt, reason))
         if self._may_try_again(call):
             return await self._place(call)
         if end is not None and end.outcome == states.FAILED:
@@ -264,13 +264,13 @@
 
 
 def _apply_dispatch(
-    record: holders_pb2.Record, placement: Placement, step: holders_pb2.Step
+    record: holders_pb2.Record, placed: PlacedAttempt, step: holders_pb2.Step
 ) -> None:
     record.state = states.DISPATCHED
-    record.attempt = placement.attempt
-    record.server = placement.server
-    record.sidecar = placement.sidecar
-    record.sidecar_incarnation = placement.incarnation
+    record.attempt = placed.attempt
+    record.server = placed.server
+    record.sidecar = placed.sidecar
+    record.sidecar_incarnation = placed.incarnation
     record.steps.append(step)
 
 
--- a/packages/fleet/src/endivesaddle/fleet/requests/calls.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/calls.py
@@ -11,7 +11,7 @@
 SERVICE = 'service'
 
 
-class Placement(NamedTuple):
+class PlacedAttempt(NamedTuple):
     """An attempt at the sidecar that was chosen for it."""
 
     attempt: int
@@ -66,10 +66,12 @@
             return f'service {request.service} {request.method} {request.path}'
         return request.model
 
-    def placement(self) -> Placement:
+    def placed(self) -> PlacedAttempt:
         """Return the attempt that the record names."""
         record = self.record
-        return Placement(record.attempt, record.server, record.sidecar, record.sidecar_incarnation)
+        return PlacedAttempt(
+            record.attempt, record.server, record.sidecar, record.sidecar_incarnation
+        )
 
     def routing_request(self) -> RoutingRequest:
         """Return what the request requires of a backend server."""
--- a/packages/fleet/src/endivesaddle/fleet/requests/following.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/following.py
@@ -5,7 +5,7 @@
 import anyio
 
 from endivesaddle.fleet.errors import PeerRefused, PeerSilent, PeerUnreachable
-from endivesaddle.fleet.requests.calls import Placement
+from endivesaddle.fleet.requests.calls import PlacedAttempt
 from endivesaddle.fleet.requests.context import Context
 from endivesaddle.fleet.requests.errors import RunForgotten, RunLost
 from endivesaddle.fleet.requests.loss_detector import LossDetector
@@ -25,9 +25,9 @@
     yielded is dropped, and a gap is followed anew from the offset reached.
     """
 
-    def __init__(self, context: Context, request: CallerRequest, placement: Placement) -> None:
+    def __init__(self, context: Context, request: CallerRequest, placed: PlacedAttempt) -> None:
         """Follow from the first byte."""
-        self.placement = placement
+        self.placed = placed
         self.head: runs_pb2.Head | None = None
         self.end: runs_pb2.End | None = None
         self.offset_bytes = 0
@@ -52,11 +52,11 @@
     async def _follow(self) -> AsyncGenerator[bytes, None]:
         message = runs_pb2.FollowRequest(
             request_key=self._request.key,
-            attempt=self.placement.attempt,
+            attempt=self.placed.attempt,
             offset_bytes=self.offset_bytes,
         )
         silence_s = self._context.settings.silence_s
-        chunks = self._context.peers.follow(self.placement.sidecar, rpcs.FOLLOW, message, silence_s)
+        chunks = self._context.peers.follow(self.placed.sidecar, rpcs.FOLLOW, message, silence_s)
         async for chunk in chunks:
             if not self._belongs(chunk):
                 self.dropped_chunks += 1
@@ -72,7 +72,7 @@
         raise PeerUnreachable('the answer stopped or left out bytes')
 
     def _belongs(self, chunk: runs_pb2.Chunk) -> bool:
-        names = (self._request.key, self.placement.attempt)
+        names = (self._request.key, self.placed.attempt)
         return (chunk.request_key, chunk.attempt) == names
 
     def _has_gap(self, chunk: runs_pb2.Chunk) -> bool:
@@ -98,6 +98,6 @@
         late = (
             self._context.now_s() >= self._request.deadline_unix_s + self._context.settings.call_s
         )
-        if late or self._loss_detector.lost(self.placement):
+        if late or self._loss_detector.lost(self.placed):
             raise RunLost(str(error)) from error
         await anyio.sleep(self._context.settings.retry_pause_s)
--- a/packages/fleet/src/endivesaddle/fleet/requests/loss_detector.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/loss_detector.py
@@ -1,6 +1,6 @@
 """How long a sidecar that doesn't answer is waited for."""
 
-from endivesaddle.fleet.requests.calls import Placement
+from endivesaddle.fleet.requests.calls import PlacedAttempt
 from endivesaddle.fleet.requests.context import Context
 
 
@@ -23,15 +23,15 @@
         """Take a sign of life."""
         self._until_unix_s = 0
 
-    def lost(self, placement: Placement) -> bool:
+    def lost(self, placed: PlacedAttempt) -> bool:
         """Tell whether to give the sidecar up, after a call to it failed."""
         if not self._until_unix_s:
             self._until_unix_s = self._context.now_s() + self._wait_s
-        return self._context.now_s() >= self._until_unix_s or self._replaced(placement)
+        return self._context.now_s() >= self._until_unix_s or self._replaced(placed)
 
-    def _replaced(self, placement: Placement) -> bool:
+    def _replaced(self, placed: PlacedAttempt) -> bool:
         # A restarted sidecar has forgotten its runs; waiting for it is in vain.
         for member in self._context.view.members('sidecar'):
-            if member.address == placement.sidecar:
-                return placement.incarnation not in {0, member.incarnation}
+            if member.address == placed.sidecar:
+                return placed.incarnation not in {0, member.incarnation}
         return False
--- a/packages/fleet/src/endivesaddle/fleet/requests/starting.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/starting.py
@@ -7,7 +7,7 @@
 
 from endivesaddle.fleet.errors import PeerRefused, PeerSilent, PeerUnreachable
 from endivesaddle.fleet.requests import states
-from endivesaddle.fleet.requests.calls import SERVICE, Call, Placement
+from endivesaddle.fleet.requests.calls import SERVICE, Call, PlacedAttempt
 from endivesaddle.fleet.requests.context import Context
 from endivesaddle.fleet.requests.loss_detector import LossDetector
 from endivesaddle.wire import rpcs, runs_pb2
@@ -39,19 +39,21 @@
         """Start in the name of one router."""
         self._context = context
 
-    async def start(self, call: Call, placement: Placement, holder: str, own: bool) -> StartOutcome:
+    async def start(
+        self, call: Call, placed: PlacedAttempt, holder: str, own: bool
+    ) -> StartOutcome:
         """Start an attempt; ``own`` tells that this call dispatched it.
 
         An attempt that another call's router dispatched may have been started by
         it: only the sidecar's own word then tells that it did not run.
         """
-        message = self._message(call, placement, holder)
+        message = self._message(call, placed, holder)
         loss_detector = LossDetector(self._context, call.request.may_repeat)
         sent = not own
         while True:
             try:
                 reply = await self._context.peers.call(
-                    placement.sidecar, rpcs.START, message, self._call_deadline_unix_s(call)
+                    placed.sidecar, rpcs.START, message, self._call_deadline_unix_s(call)
                 )
             except PeerSilent as error:
                 sent = True
@@ -59,15 +61,15 @@
             except (PeerUnreachable, PeerRefused) as error:
                 reason = str(error)
                 if not sent:
-                    return StartOutcome(Start.NOT_RUN, placement.attempt, reason)
+                    return StartOutcome(Start.NOT_RUN, placed.attempt, reason)
             else:
-                return _interpret(reply, placement)
+                return _interpret(reply, placed)
             late = self._context.now_s() >= call.request.deadline_unix_s
-            if late or loss_detector.lost(placement):
-                return StartOutcome(Start.LOST, placement.attempt, reason)
+            if late or loss_detector.lost(placed):
+                return StartOutcome(Start.LOST, placed.attempt, reason)
             await anyio.sleep(self._context.settings.retry_pause_s)
 
-    async def stop(self, call: Call, placement: Placement, reason: str) -> bool:
+    async def stop(self, call: Call, placed: PlacedAttempt, reason: str) -> bool:
         """Make sure that an attempt which did not start never will, whoever sends it.
 
         A cancel that finds no run leaves a mark at the sidecar; False where the
@@ -75,13 +77,13 @@
         """
         message = runs_pb2.CancelRequest(
             request_key=call.request.key,
-            attempt=placement.attempt,
+            attempt=placed.attempt,
             reason=reason,
-            incarnation=placement.incarnation,
+            incarnation=placed.incarnation,
         )
         try:
             reply = await self._context.peers.call(
-                placement.sidecar, rpcs.CANCEL, message, self._call_deadline_unix_s(call)
+                placed.sidecar, rpcs.CANCEL, message, self._call_deadline_unix_s(call)
             )
         except (PeerUnreachable, PeerSilent, PeerRefused):
             return False
@@ -91,13 +93,13 @@
         soon_unix_s = self._context.now_s() + self._context.settings.call_s
         return min(call.request.deadline_unix_s, soon_unix_s)
 
-    def _message(self, call: Call, placement: Placement, holder: str) -> runs_pb2.StartRequest:
+    def _message(self, call: Call, placed: PlacedAttempt, holder: str) -> runs_pb2.StartRequest:
         request = call.request
         record = call.record
         return runs_pb2.StartRequest(
             request_key=request.key,
             account=request.account,
-            attempt=placement.attempt,
+            attempt=placed.attempt,
             shard=record.shard,
             data_centre=record.data_centre,
             epoch=record.epoch,
@@ -117,12 +119,12 @@
             max_tokens=request.max_tokens,
             batch=record.batch,
             cost_tokens=request.bound_tokens if request.kind == SERVICE else 0,
-            incarnation=placement.incarnation,
+            incarnation=placed.incarnation,
         )
 
 
-def _interpret(reply: runs_pb2.StartReply, placement: Placement) -> StartOutcome:
+def _interpret(reply: runs_pb2.StartReply, placed: PlacedAttempt) -> StartOutcome:
     if reply.verdict != states.REFUSED:
-        return StartOutcome(Start.RUNNING, reply.attempt or placement.attempt)
+        return StartOutcome(Start.RUNNING, reply.attempt or placed.attempt)
     start = Start.NOT_RUN if reply.not_run else Start.LOST
-    return StartOutcome(start, placement.attempt, f'{reply.code}: {reply.reason}')
+    return StartOutcome(start, placed.attempt, f'{reply.code}: {reply.reason}')
