--- a/features/steps/custody_steps.py
+++ b/features/steps/custody_steps.py
@@ -27,7 +27,7 @@
 @when('the router that keeps the account is killed and starts anew')
 def kill_keeper(context: Any) -> None:
     """Kill the one that has most tokens for others."""
-    kept = [ahead(router.keeper) for router in context.cut.routers]
+    kept = [ahead(router.allocator) for router in context.cut.routers]
     assert max(kept) > 0, kept
     context.cut.kill(kept.index(max(kept)))
 
@@ -36,7 +36,7 @@
 def kill_sidecars(context: Any) -> None:
     """Kill one after the other."""
     assert context.cut.deposited() > 0
-    for number, _ in enumerate(context.cut.keepers):
+    for number, _ in enumerate(context.cut.allocators):
         context.cut.kill_sidecar(number)
 
 
@@ -45,7 +45,7 @@
     """Kill them at one moment."""
     context.killed_ahead = context.cut.deposited()
     assert context.killed_ahead > 0
-    for number, _ in enumerate(context.cut.keepers):
+    for number, _ in enumerate(context.cut.allocators):
         context.cut.kill_sidecar(number)
     context.cut.kill(router)
 
@@ -67,7 +67,7 @@
 
 
 def _restart_keeper(context: Any, busy: list[int]) -> None:
-    kept = [ahead(keeper) for keeper in context.cut.keepers]
+    kept = [ahead(allocator) for allocator in context.cut.allocators]
     context.killed_ahead = max(kept)
     assert context.killed_ahead > 0
     context.cut.lose_sidecar(kept.index(max(kept)))
@@ -115,7 +115,7 @@
 @when('the sidecar that keeps the account falls silent')
 def silence_keeper(context: Any) -> None:
     """Lose the messages of the one that has most tokens."""
-    kept = [ahead(keeper) for keeper in context.cut.keepers]
+    kept = [ahead(allocator) for allocator in context.cut.allocators]
     assert max(kept) > 0, kept
     context.cut.silence(kept.index(max(kept)))
 
@@ -132,7 +132,7 @@
 def stop_sidecars(context: Any) -> None:
     """Stop one after the other."""
     assert context.cut.deposited() > 0
-    for number, _ in enumerate(context.cut.keepers):
+    for number, _ in enumerate(context.cut.allocators):
         context.cut.stop_sidecar(number)
 
 
@@ -160,7 +160,7 @@
         if step % KILL_EVERY == 0:
             fleet.kill(random.randrange(len(fleet.routers)))
         if step % KILL_SIDECAR_EVERY == 0:
-            fleet.kill_sidecar(random.randrange(len(fleet.keepers)))
+            fleet.kill_sidecar(random.randrange(len(fleet.allocators)))
         fleet.spend(random.randrange(len(fleet.routers)), random.randint(100, 3000))
         fleet.sleep(STEP_S)
         context.most_held = max(context.most_held, _held(fleet))
--- a/features/steps/shares_steps.py
+++ b/features/steps/shares_steps.py
@@ -129,7 +129,7 @@
     """Compare what it drew with what it uses, and see what it kept for others returned too."""
     more = context.shares.granted_to(router) - context.shares.used_by(router)
     assert tokens <= more <= tokens + SMALL_TOKENS, more
-    kept = context.shares.keepers[context.shares.names[router]].dump().values()
+    kept = context.shares.allocators[context.shares.names[router]].dump().values()
     ahead = [one['granted_tokens'] - one['spent_tokens'] - one['routers_tokens'] for one in kept]
     assert max(ahead, default=0) <= SMALL_TOKENS, ahead
 
--- a/features/subjects/cut_router.py
+++ b/features/subjects/cut_router.py
@@ -8,12 +8,12 @@
 from endivesaddle.fleet.clock import LoopClock
 from endivesaddle.fleet.errors import StoreUnreachable
 from endivesaddle.fleet.ports import Handlers, Stored
+from endivesaddle.fleet.routes.allocator import Allocator
+from endivesaddle.fleet.routes.allocator_choice import AllocatorChoice
 from endivesaddle.fleet.routes.call_times import TimedPeers
 from endivesaddle.fleet.routes.declared import Declared, RouteAccount, RouteServer
 from endivesaddle.fleet.routes.following import Decoder, Follower
-from endivesaddle.fleet.routes.grant_group import KeeperLife
-from endivesaddle.fleet.routes.keeper import Keeper
-from endivesaddle.fleet.routes.keepers import Keepers
+from endivesaddle.fleet.routes.grant_group import AllocatorContext
 from endivesaddle.fleet.routes.known import Contact, Known
 from endivesaddle.fleet.routes.neighbours import NeighbourParts, Neighbours
 from endivesaddle.fleet.routes.remote_store import answer_store
@@ -96,12 +96,14 @@
         self.known = Known()
         own = Instance(ROUTER, name, address, 'porto-a')
         self.roster = Roster(self.way, clock, own)
-        self.keeper = Keeper(KeeperLife(name, address, self.way, clock, net.peers(address)))
-        keepers = Keepers(self.roster, address, clock)
+        self.allocator = Allocator(
+            AllocatorContext(name, address, self.way, clock, net.peers(address))
+        )
+        choice = AllocatorChoice(self.roster, address, clock)
         peers = TimedPeers(net.peers(address), clock)
         self.peers = peers
         self.wallet = Wallet(
-            WalletParts(name, address, self.known, keepers, self.keeper, peers, clock)
+            WalletParts(name, address, self.known, choice, self.allocator, peers, clock)
         )
         self.dispatcher = Dispatcher(ForwardSettings(), self.known, clock, name)
         self._neighbours = Neighbours(
@@ -130,11 +132,11 @@
         self.contact.heard()
         handlers = Handlers()
         self._neighbours.register(handlers)
-        self.keeper.register(handlers)
+        self.allocator.register(handlers)
         self.wallet.register(handlers)
         answer_store(handlers, self.cut, self._clock)
         self._net.serve(self.address, handlers)
-        parts = (self.way, self.roster, self.keeper, self.wallet, self._neighbours)
+        parts = (self.way, self.roster, self.allocator, self.wallet, self._neighbours)
         tasks = (*parts, self._follower, self._crashes)
         self._tasks = [asyncio.ensure_future(part.run()) for part in tasks]
         self._tasks.append(asyncio.ensure_future(self._tend()))
@@ -148,7 +150,7 @@
     async def give_back(self) -> None:
         """Give back what is not in use, as at a graceful stop."""
         await self.wallet.release()
-        await self.keeper.release()
+        await self.allocator.release()
 
     async def _tend(self) -> None:
         while True:
--- a/features/subjects/forward_runs.py
+++ b/features/subjects/forward_runs.py
@@ -10,6 +10,8 @@
 import anyio
 
 from endivesaddle.fleet.clock import LoopClock
+from endivesaddle.fleet.routes.allocator import Allocator
+from endivesaddle.fleet.routes.allocator_choice import AllocatorChoice
 from endivesaddle.fleet.routes.call_times import TimedPeers
 from endivesaddle.fleet.routes.declared import (
     Declared,
@@ -21,9 +23,7 @@
     Target,
 )
 from endivesaddle.fleet.routes.forwarded import ForwardRequest, Pairs, ServerCall
-from endivesaddle.fleet.routes.grant_group import KeeperLife
-from endivesaddle.fleet.routes.keeper import Keeper
-from endivesaddle.fleet.routes.keepers import Keepers
+from endivesaddle.fleet.routes.grant_group import AllocatorContext
 from endivesaddle.fleet.routes.known import Known
 from endivesaddle.fleet.routes.running import Runner
 from endivesaddle.fleet.routes.wallet import Wallet, WalletParts
@@ -337,12 +337,12 @@
             name = f'life-{number}'
             self._known.server(RouteServer(name, 'engines', f'{name}:1', 'a', 4), 'test')
         self._store = MemoryStore(self._clock)
-        keeper = Keeper(KeeperLife('one', 'one', self._store, self._clock))
-        self._keeping = asyncio.ensure_future(keeper.run())
-        keepers = Keepers(Alone(), 'one', self._clock)
+        allocator = Allocator(AllocatorContext('one', 'one', self._store, self._clock))
+        self._keeping = asyncio.ensure_future(allocator.run())
+        choice = AllocatorChoice(Alone(), 'one', self._clock)
         timed = TimedPeers(MemoryNet(self._clock).peers('one'), self._clock)
         self.wallet = Wallet(
-            WalletParts('one', 'one', self._known, keepers, keeper, timed, self._clock)
+            WalletParts('one', 'one', self._known, choice, allocator, timed, self._clock)
         )
         dispatcher = Dispatcher(ForwardSettings(), self._known, self._clock, 'one')
         self.desks = CountingDesks()
--- a/features/subjects/shares.py
+++ b/features/subjects/shares.py
@@ -6,12 +6,12 @@
 
 from endivesaddle.fleet.clock import LoopClock
 from endivesaddle.fleet.ports import Handlers
+from endivesaddle.fleet.routes.allocator import Allocator
+from endivesaddle.fleet.routes.allocator_choice import AllocatorChoice
 from endivesaddle.fleet.routes.call_times import TimedPeers
 from endivesaddle.fleet.routes.declared import Declared, RouteAccount
-from endivesaddle.fleet.routes.grant_group import GROUPS, PREFIX, KeeperLife
+from endivesaddle.fleet.routes.grant_group import GROUPS, PREFIX, AllocatorContext
 from endivesaddle.fleet.routes.grants import Entry, decode
-from endivesaddle.fleet.routes.keeper import Keeper
-from endivesaddle.fleet.routes.keepers import Keepers
 from endivesaddle.fleet.routes.known import Known
 from endivesaddle.fleet.routes.reservation import Reservation
 from endivesaddle.fleet.routes.wallet import Wallet, WalletParts
@@ -53,7 +53,7 @@
         self.version = 0
         self.names: list[str] = []
         self.wallets: dict[str, Wallet] = {}
-        self.keepers: dict[str, Keeper] = {}
+        self.allocators: dict[str, Allocator] = {}
         self.known: dict[str, Known] = {}
         self.net = MemoryNet(self._clock)
         self._running: dict[str, anyio.CancelScope] = {}
@@ -143,17 +143,17 @@
     async def _start(self, name: str) -> None:
         known = Known()
         known.declare(self._declared(self.total), b'', 'test')
-        keeper = Keeper(KeeperLife(name, name, self.store, self._clock))
-        keepers = Keepers(Others(self, name), name, self._clock)
+        allocator = Allocator(AllocatorContext(name, name, self.store, self._clock))
+        choice = AllocatorChoice(Others(self, name), name, self._clock)
         peers = self.net.peers(name)
         timed = TimedPeers(peers, self._clock)
-        wallet = Wallet(WalletParts(name, name, known, keepers, keeper, timed, self._clock))
+        wallet = Wallet(WalletParts(name, name, known, choice, allocator, timed, self._clock))
         handlers = Handlers()
-        keeper.register(handlers)
+        allocator.register(handlers)
         self.net.serve(name, handlers)
         self.names.append(name)
         self.wallets[name] = wallet
-        self.keepers[name] = keeper
+        self.allocators[name] = allocator
         self.known[name] = known
         self._running[name] = anyio.CancelScope()
         self._loop_task(name)
@@ -163,7 +163,7 @@
         async def run() -> None:
             with self._running[name]:
                 async with anyio.create_task_group() as group:
-                    group.start_soon(self.keepers[name].run)
+                    group.start_soon(self.allocators[name].run)
                     group.start_soon(self.wallets[name].run)
 
         self._tasks.append(asyncio.ensure_future(run()))
@@ -174,7 +174,7 @@
 
     async def _release_one(self, name: str) -> None:
         await self.wallets[name].release()
-        await self.keepers[name].release()
+        await self.allocators[name].release()
 
     async def _kill(self) -> None:
         for name in self.names:
--- a/features/subjects/slow_own_link.py
+++ b/features/subjects/slow_own_link.py
@@ -7,11 +7,11 @@
 
 from endivesaddle.fleet.errors import PeerSilent
 from endivesaddle.fleet.ports import Handlers
+from endivesaddle.fleet.routes.allocator import Allocator
+from endivesaddle.fleet.routes.allocator_choice import AllocatorChoice
 from endivesaddle.fleet.routes.declared import RouteAccount
 from endivesaddle.fleet.routes.desks import answer_desk
-from endivesaddle.fleet.routes.grant_group import KeeperLife, group_of
-from endivesaddle.fleet.routes.keeper import Keeper
-from endivesaddle.fleet.routes.keepers import Keepers
+from endivesaddle.fleet.routes.grant_group import AllocatorContext, group_of
 from endivesaddle.fleet.routes.roster import SIDECAR, SIDECAR_LEASE_S, Entry, Instance
 from endivesaddle.fleet.routing.engine_desk import EngineDesk
 from endivesaddle.fleet.sentinels import Refusal
@@ -90,16 +90,16 @@
         assert not self.refused
 
     async def _silence_keeper(self) -> None:
-        keepers = Keepers(self._router.roster, ROUTER, self._clock)
-        self._net.part({ROUTER}, {keepers.ranked(group_of(ACCOUNT.name))[0]})
+        choice = AllocatorChoice(self._router.roster, ROUTER, self._clock)
+        self._net.part({ROUTER}, {choice.ranked(group_of(ACCOUNT.name))[0]})
 
     async def _sidecar(self, name: str, address: str) -> None:
         handlers = Handlers()
-        keeper = Keeper(KeeperLife(name, address, self._store, self._clock))
-        keeper.register(handlers)
+        allocator = Allocator(AllocatorContext(name, address, self._store, self._clock))
+        allocator.register(handlers)
         answer_desk(handlers, EngineDesk(), self._clock)
         self._net.serve(address, handlers)
-        self._running.append(asyncio.ensure_future(keeper.run()))
+        self._running.append(asyncio.ensure_future(allocator.run()))
         own = Instance(SIDECAR, name, address, 'porto-a')
         await Entry(self._store, self._clock, own, SIDECAR_LEASE_S).keep()
 
--- a/features/subjects/store_relay.py
+++ b/features/subjects/store_relay.py
@@ -11,10 +11,10 @@
 from endivesaddle.fleet.clock import LoopClock
 from endivesaddle.fleet.errors import FleetError
 from endivesaddle.fleet.ports import Handlers, Stored
+from endivesaddle.fleet.routes.allocator import Allocator
 from endivesaddle.fleet.routes.board import Board
 from endivesaddle.fleet.routes.declared import RouteAccount, RouteServer
-from endivesaddle.fleet.routes.grant_group import KeeperLife
-from endivesaddle.fleet.routes.keeper import Keeper
+from endivesaddle.fleet.routes.grant_group import AllocatorContext
 from endivesaddle.fleet.routes.remote_store import RemoteStore, answer_store
 from endivesaddle.fleet.routes.reservation import Reservation
 from endivesaddle.fleet.routes.roster import PREFIX, ROUTER, SIDECAR, Entry, Instance, Roster
@@ -49,7 +49,7 @@
         self.spent = 0
         self.router_lists = 0
         self.reads: list[Any] = []
-        self.keepers: list[Keeper] = []
+        self.allocators: list[Allocator] = []
         self._keeping: list[asyncio.Future[None]] = []
         self.routers: list[CutRouter] = []
         self.in_vain: Counter[str] = Counter()
@@ -129,11 +129,11 @@
 
     def deposited(self) -> int:
         """Return the tokens that sidecars keep and no router holds."""
-        return sum(ahead(keeper) for keeper in self.keepers)
+        return sum(ahead(allocator) for allocator in self.allocators)
 
     def kept_by_routers(self) -> int:
         """Return the tokens that routers keep for others."""
-        return sum(ahead(router.keeper) for router in self.routers)
+        return sum(ahead(router.allocator) for router in self.routers)
 
     def read(self) -> None:
         """Have each router read a key; keep what it is told."""
@@ -199,16 +199,18 @@
         self._sidecar_lives += 1
         name = f'sidecar-{self._sidecar_lives}'
         address = _sidecar(number)
-        keeper = Keeper(KeeperLife(name, address, self.store, self._clock, self.net.peers(address)))
-        keeper.register(handlers)
+        allocator = Allocator(
+            AllocatorContext(name, address, self.store, self._clock, self.net.peers(address))
+        )
+        allocator.register(handlers)
         Board(self._clock, name).register(handlers)
-        task = asyncio.ensure_future(keeper.run())
-        if number < len(self.keepers):
+        task = asyncio.ensure_future(allocator.run())
+        if number < len(self.allocators):
             self._keeping[number].cancel()
-            self.keepers[number] = keeper
+            self.allocators[number] = allocator
             self._keeping[number] = task
         else:
-            self.keepers.append(keeper)
+            self.allocators.append(allocator)
             self._keeping.append(task)
         self.net.serve(_sidecar(number), handlers)
 
@@ -217,13 +219,13 @@
         self._keeping[number].cancel()
 
     async def _kill_all(self) -> None:
-        for lost, _ in enumerate(self.keepers):
+        for lost, _ in enumerate(self.allocators):
             await self._lose_sidecar(lost)
         for router in self.routers:
             router.kill()
         self._count_lists()
         await anyio.sleep(0.5)
-        for place, _ in enumerate(self.keepers):
+        for place, _ in enumerate(self.allocators):
             await self._start_sidecar(place)
         self.routers = [self._router(number) for number, _ in enumerate(self.routers)]
         for started in self.routers:
@@ -239,9 +241,9 @@
         self.store.glance = counted  # type: ignore[method-assign]
 
     async def _stop_sidecar(self, number: int) -> None:
-        await self.keepers[number].release()
+        await self.allocators[number].release()
         await anyio.sleep(2.5)
-        await self.keepers[number].release()
+        await self.allocators[number].release()
         self.net.kill(_sidecar(number))
 
     def _router(self, number: int) -> CutRouter:
@@ -290,11 +292,11 @@
     return f'10.0.1.{number}:1'
 
 
-def ahead(keeper: Keeper) -> int:
+def ahead(allocator: Allocator) -> int:
     """Return the tokens that a keeper may still hand out."""
     return int(
         sum(
             one['granted_tokens'] - one['spent_tokens'] - one['routers_tokens']
-            for one in keeper.dump().values()
+            for one in allocator.dump().values()
         )
     )
--- a/packages/daemon/src/endivesaddle/daemon/forward_parts.py
+++ b/packages/daemon/src/endivesaddle/daemon/forward_parts.py
@@ -4,12 +4,12 @@
 
 from endivesaddle.daemon.forwarder_settings import ForwarderSettings
 from endivesaddle.fleet.clock import Clock
+from endivesaddle.fleet.routes.allocator import Allocator
+from endivesaddle.fleet.routes.allocator_choice import AllocatorChoice
 from endivesaddle.fleet.routes.call_times import TimedPeers
 from endivesaddle.fleet.routes.following import Decoder
-from endivesaddle.fleet.routes.grant_group import KeeperLife
+from endivesaddle.fleet.routes.grant_group import AllocatorContext
 from endivesaddle.fleet.routes.header_names import HeaderNames
-from endivesaddle.fleet.routes.keeper import Keeper
-from endivesaddle.fleet.routes.keepers import Keepers
 from endivesaddle.fleet.routes.known import Contact, Known
 from endivesaddle.fleet.routes.roster import ROUTER, Instance, Roster
 from endivesaddle.fleet.routes.wallet import Wallet, WalletParts
@@ -34,7 +34,7 @@
     dispatcher: Dispatcher
     roster: Roster
     wallet: Wallet
-    keeper: Keeper
+    allocator: Allocator
 
 
 def decisions(
@@ -48,7 +48,9 @@
     dispatcher = Dispatcher(settings.forward, known, clock, place.lifetime)
     own = Instance(ROUTER, place.lifetime, place.listen, settings.forward.forward_data_centre)
     roster = Roster(store, clock, own)
-    keeper = Keeper(KeeperLife(place.lifetime, place.listen, store, clock, peers))
-    keepers = Keepers(roster, place.listen, clock)
-    wallet = Wallet(WalletParts(place.lifetime, place.listen, known, keepers, keeper, peers, clock))
-    return Decisions(store, known, contact, dispatcher, roster, wallet, keeper)
+    allocator = Allocator(AllocatorContext(place.lifetime, place.listen, store, clock, peers))
+    choice = AllocatorChoice(roster, place.listen, clock)
+    wallet = Wallet(
+        WalletParts(place.lifetime, place.listen, known, choice, allocator, peers, clock)
+    )
+    return Decisions(store, known, contact, dispatcher, roster, wallet, allocator)
--- a/packages/daemon/src/endivesaddle/daemon/forwarder.py
+++ b/packages/daemon/src/endivesaddle/daemon/forwarder.py
@@ -93,7 +93,7 @@
         """Serve until a signal says stop, then end what is open."""
         handlers = Handlers()
         self.neighbours.register(handlers)
-        self.parts.keeper.register(handlers)
+        self.parts.allocator.register(handlers)
         self.parts.wallet.register(handlers)
         answer_store(handlers, self.parts.store.direct, self._clock)
         async with (
@@ -115,7 +115,7 @@
             'lifetime': self._settings.place.lifetime,
             'routers': parts.roster.others,
             'shares': parts.wallet.dump(),
-            'grants': parts.keeper.dump(),
+            'grants': parts.allocator.dump(),
             'servers': parts.dispatcher.dump(),
             'evacuated': sorted(known.evacuations.names),
             'calls_lately': self._call_times.dump(),
@@ -150,7 +150,7 @@
             self.parts.store.run,
             self.parts.roster.run,
             self.neighbours.run,
-            self.parts.keeper.run,
+            self.parts.allocator.run,
             self.parts.wallet.run,
             self._desks.run,
             self._crashes.run,
@@ -201,7 +201,7 @@
     async def _give_back(self) -> None:
         """Give the keepers back what is not in use, and the store what is kept here."""
         await self.parts.wallet.release()
-        await self.parts.keeper.release()
+        await self.parts.allocator.release()
 
     async def _tend(self) -> None:
         """Forget servers that are gone, and pass on who may reach the store."""
--- a/packages/daemon/src/endivesaddle/daemon/store_sidecar.py
+++ b/packages/daemon/src/endivesaddle/daemon/store_sidecar.py
@@ -14,10 +14,10 @@
 from endivesaddle.fleet import settings as options
 from endivesaddle.fleet.clock import SteadyClock
 from endivesaddle.fleet.ports import Handlers
+from endivesaddle.fleet.routes.allocator import Allocator
 from endivesaddle.fleet.routes.board import Board
 from endivesaddle.fleet.routes.desks import answer_desk
-from endivesaddle.fleet.routes.grant_group import KeeperLife
-from endivesaddle.fleet.routes.keeper import Keeper
+from endivesaddle.fleet.routes.grant_group import AllocatorContext
 from endivesaddle.fleet.routes.remote_store import ForwardStore, answer_store
 from endivesaddle.fleet.routes.roster import (
     SIDECAR,
@@ -64,8 +64,8 @@
         own = Instance(SIDECAR, settings.lifetime, settings.listen, settings.data_centre)
         self._entry = Entry(store, self._clock, own, SIDECAR_LEASE_S)
         peers = GrpcPeers(settings.links, self._clock)
-        self._keeper = Keeper(
-            KeeperLife(settings.lifetime, settings.listen, store, self._clock, peers)
+        self._allocator = Allocator(
+            AllocatorContext(settings.lifetime, settings.listen, store, self._clock, peers)
         )
 
     async def run(self) -> None:
@@ -77,7 +77,7 @@
         ):
             events.STARTED.log(address=settings.listen, http_address='')
             group.start_soon(self._entry.run, SIDECAR_RENEW_S)
-            group.start_soon(self._keeper.run)
+            group.start_soon(self._allocator.run)
             group.start_soon(self._polls.run)
             await stop_signal()
             await self._stop()
@@ -95,12 +95,12 @@
 
     async def _give_back(self) -> None:
         with anyio.move_on_after(RELEASE_S):
-            await self._keeper.release()
+            await self._allocator.release()
 
     def _handlers(self) -> Handlers:
         handlers = Handlers()
         answer_store(handlers, self._polls, self._clock)
-        self._keeper.register(handlers)
+        self._allocator.register(handlers)
         Board(self._clock, self._settings.lifetime).register(handlers)
         answer_desk(handlers, EngineDesk(), self._clock)
         return handlers
--- a/packages/fleet/src/endivesaddle/fleet/routes/keeper.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/allocator.py
@@ -10,7 +10,7 @@
 
 from endivesaddle.fleet.ports import Handlers
 from endivesaddle.fleet.routes import events
-from endivesaddle.fleet.routes.grant_group import GROUPS, GrantGroup, KeeperLife, group_of
+from endivesaddle.fleet.routes.grant_group import GROUPS, AllocatorContext, GrantGroup, group_of
 from endivesaddle.fleet.routes.grants import LEAST_PART, Grant
 from endivesaddle.fleet.routes.held_claims import HeldClaims
 from endivesaddle.wire import rpcs
@@ -52,10 +52,10 @@
         grant.settle(spent, spent)
 
 
-class Keeper:
+class Allocator:
     """All grants of one life of an instance."""
 
-    def __init__(self, life: KeeperLife) -> None:
+    def __init__(self, life: AllocatorContext) -> None:
         """Hold grants under ``life``."""
         self.leaving = False
         self._life = life
--- a/packages/fleet/src/endivesaddle/fleet/routes/keepers.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/allocator_choice.py
@@ -33,7 +33,7 @@
         """Addresses of the other routers by lifetime."""
 
 
-class Keepers:
+class AllocatorChoice:
     """The keepers as one router sees them."""
 
     def __init__(self, instances: Instances, own_address: str, clock: Clock) -> None:
--- a/packages/fleet/src/endivesaddle/fleet/routes/grant_group.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/grant_group.py
@@ -58,7 +58,7 @@
     return int.from_bytes(digest) % GROUPS
 
 
-class KeeperLife(NamedTuple):
+class AllocatorContext(NamedTuple):
     """One life of a keeper: its name, its address, its store, its clock, and its calls to routers.
 
     Without ``peers`` it waits until routers call.
@@ -74,7 +74,7 @@
 class GrantGroup:
     """A keeper's grants of one group; ``run`` is the only one that writes them."""
 
-    def __init__(self, number: int, life: KeeperLife) -> None:
+    def __init__(self, number: int, life: AllocatorContext) -> None:
         """Start unread and without accounts."""
         self.grants: dict[str, Grant] = {}
         self.routers: set[str] = set()
--- a/packages/fleet/src/endivesaddle/fleet/routes/held_claims.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/held_claims.py
@@ -14,7 +14,7 @@
 
 from endivesaddle.fleet.errors import FleetError
 from endivesaddle.fleet.routes import sidecar_events as events
-from endivesaddle.fleet.routes.grant_group import PREFIX, GrantGroup, KeeperLife
+from endivesaddle.fleet.routes.grant_group import PREFIX, AllocatorContext, GrantGroup
 from endivesaddle.fleet.routes.grants import decode
 from endivesaddle.fleet.routes.roster import PREFIX as INSTANCES
 from endivesaddle.fleet.routes.roster import ROUTER, Instance
@@ -35,7 +35,7 @@
 class HeldClaims:
     """One keeper's questions to routers, in the first seconds of its life."""
 
-    def __init__(self, life: KeeperLife, groups: Sequence[GrantGroup]) -> None:
+    def __init__(self, life: AllocatorContext, groups: Sequence[GrantGroup]) -> None:
         """Ask for ``life``, and hand the answers to ``groups``."""
         self._life = life
         self._groups = groups
--- a/packages/fleet/src/endivesaddle/fleet/routes/wallet.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/wallet.py
@@ -13,13 +13,13 @@
 from endivesaddle.fleet.errors import FleetError
 from endivesaddle.fleet.ports import Handlers
 from endivesaddle.fleet.routes import events, sidecar_events
+from endivesaddle.fleet.routes.allocator import Allocator
+from endivesaddle.fleet.routes.allocator_choice import LEAVING_S, AllocatorChoice
 from endivesaddle.fleet.routes.call_times import TimedPeers
 from endivesaddle.fleet.routes.declared import RouteAccount
 from endivesaddle.fleet.routes.drawn import DrawnAccount, Told
 from endivesaddle.fleet.routes.grant_group import GROUPS, group_of
 from endivesaddle.fleet.routes.grants import HIGH, SMALL_TOKENS
-from endivesaddle.fleet.routes.keeper import Keeper
-from endivesaddle.fleet.routes.keepers import LEAVING_S, Keepers
 from endivesaddle.fleet.routes.known import Known
 from endivesaddle.fleet.routes.reservation import Reservation
 from endivesaddle.fleet.sentinels import NOT_RUN, Refusal
@@ -64,8 +64,8 @@
     lifetime: str
     address: str
     known: Known
-    keepers: Keepers
-    own: Keeper
+    choice: AllocatorChoice
+    own: Allocator
     peers: TimedPeers
     clock: Clock
 
@@ -91,7 +91,7 @@
     async def run(self) -> None:
         """Look at what is held until cancelled."""
         while True:
-            if self._parts.keepers.known:
+            if self._parts.choice.known:
                 await self.look()
             if self.releasing:
                 await anyio.sleep(LEAVING_LOOK_S)
@@ -184,12 +184,12 @@
     def _requests(self) -> dict[str, DrawRequest]:
         """Return what to tell each keeper: what changed, and which groups are kept there."""
         requests: dict[str, DrawRequest] = defaultdict(self._request)
-        keepers = {number: self._first_keeper(number) for number in range(GROUPS)}
-        for number, address in keepers.items():
+        allocators = {number: self._first_allocator(number) for number in range(GROUPS)}
+        for number, address in allocators.items():
             requests[address].groups.append(number)
         for name in self._limited():
             held = self._account(name)
-            current = keepers[group_of(name)]
+            current = allocators[group_of(name)]
             addresses = {drawn.address for drawn in held.drawn.values()} | {current}
             for address in addresses:
                 if self._to_tell(name, held, address):
@@ -208,11 +208,11 @@
         return Claim(keeper=life, out=out)
 
     def _to_tell(self, name: str, held: DrawnAccount, address: str) -> bool:
-        usable = self._parts.keepers.usable(address)
+        usable = self._parts.choice.usable(address)
         return usable and held.news(self._lives.get(address, ''), self._total(name))
 
-    def _first_keeper(self, group: int) -> str:
-        return self._parts.keepers.ranked(group)[0]
+    def _first_allocator(self, group: int) -> str:
+        return self._parts.choice.ranked(group)[0]
 
     def _request(self) -> DrawRequest:
         book = self._parts.known.book
@@ -235,7 +235,7 @@
         """Draw what all waiting requests of an account need; return what the last keeper said."""
         state: DrawAnswer.State = DrawAnswer.AWAY
         async with held.lock:
-            for address in self._parts.keepers.ranked(group_of(account.name)):
+            for address in self._parts.choice.ranked(group_of(account.name)):
                 state = await self._draw_all(address, held, account.name, tokens)
                 if held.holding.fits(tokens) or state in KNOWING:
                     break
@@ -266,7 +266,7 @@
             reply = await self._ask(address, request)
         if reply is None:
             # A keeper that is still to be used is asked again: no other one has what it holds.
-            usable = self._parts.keepers.usable(address)
+            usable = self._parts.choice.usable(address)
             return DrawAnswer.GROWING if usable else DrawAnswer.AWAY
         return reply.answers[0].state
 
@@ -283,7 +283,7 @@
                 **self._parts.peers.times.dump(),
             )
             if not own_delay:
-                self._parts.keepers.avoid(address)
+                self._parts.choice.avoid(address)
             return None
         if reply.lifetime in self._ended:
             return None
@@ -304,7 +304,7 @@
         self._ended.update(reply.ended)
         self._asked_of[address] = tuple(reply.ended)
         if reply.leaving:
-            self._parts.keepers.avoid(address, LEAVING_S)
+            self._parts.choice.avoid(address, LEAVING_S)
         for word, answer in zip(request.words, reply.answers, strict=True):
             held = self._account(answer.account)
             drawn = held.take_in(reply.lifetime, address, answer.drawn)
@@ -318,7 +318,7 @@
         events.GRANT_SHORT.log(
             request_id=request_id,
             account=account.name,
-            keeper=self._first_keeper(group_of(account.name)),
+            keeper=self._first_allocator(group_of(account.name)),
             keeper_said=DrawAnswer.State.Name(state),
             needed_tokens=tokens,
             granted_tokens=held.holding.granted,
