--- a/features/steps/custody_steps.py
+++ b/features/steps/custody_steps.py
@@ -168,7 +168,7 @@
 
 def _held(fleet: Any) -> int:
     """Return what is spent, and what routers and sidecars may still hand out."""
-    shares = [share for router in fleet.routers for share in router.wallet.dump().values()]
+    shares = [share for router in fleet.routers for share in router.pools.dump().values()]
     free = sum(share['granted_tokens'] - share['spent_tokens'] for share in shares)
     return int(fleet.spent + free + fleet.deposited() + fleet.kept_by_routers())
 
--- a/features/subjects/crashing_fleet.py
+++ b/features/subjects/crashing_fleet.py
@@ -209,7 +209,7 @@
         name = f'router-{next(self._lives)}'
         router = CutRouter(name, address, self._net, self._store, Entries())
         router.start(OWNER)
-        runner = Runner(router.dispatcher, router.wallet, self._servers, self._clock)
+        runner = Runner(router.dispatcher, router.pools, self._servers, self._clock)
         known = [one.address for one in self._routers]
         if address in known:
             self._routers[known.index(address)] = router
--- a/features/subjects/cut_router.py
+++ b/features/subjects/cut_router.py
@@ -16,10 +16,10 @@
 from endivesaddle.fleet.routes.grant_group import AllocatorContext
 from endivesaddle.fleet.routes.known import Contact, Known
 from endivesaddle.fleet.routes.neighbours import NeighbourParts, Neighbours
+from endivesaddle.fleet.routes.prepaid_pools import PrepaidPools, PrepaidPoolsParts
 from endivesaddle.fleet.routes.remote_store import answer_store
 from endivesaddle.fleet.routes.roster import ROUTER, Instance, Roster
 from endivesaddle.fleet.routes.stored_crashes import StoredCrashes
-from endivesaddle.fleet.routes.wallet import Wallet, WalletParts
 from endivesaddle.fleet.routes.ways import ReachedStore
 from endivesaddle.fleet.routing.dispatcher import Dispatcher
 from endivesaddle.fleet.routing.forward_settings import ForwardSettings
@@ -102,8 +102,8 @@
         choice = AllocatorChoice(self.roster, address, clock)
         peers = TimedPeers(net.peers(address), clock)
         self.peers = peers
-        self.wallet = Wallet(
-            WalletParts(name, address, self.known, choice, self.allocator, peers, clock)
+        self.pools = PrepaidPools(
+            PrepaidPoolsParts(name, address, self.known, choice, self.allocator, peers, clock)
         )
         self.dispatcher = Dispatcher(ForwardSettings(), self.known, clock, name)
         self._neighbours = Neighbours(
@@ -133,10 +133,10 @@
         handlers = Handlers()
         self._neighbours.register(handlers)
         self.allocator.register(handlers)
-        self.wallet.register(handlers)
+        self.pools.register(handlers)
         answer_store(handlers, self.cut, self._clock)
         self._net.serve(self.address, handlers)
-        parts = (self.way, self.roster, self.allocator, self.wallet, self._neighbours)
+        parts = (self.way, self.roster, self.allocator, self.pools, self._neighbours)
         tasks = (*parts, self._follower, self._crashes)
         self._tasks = [asyncio.ensure_future(part.run()) for part in tasks]
         self._tasks.append(asyncio.ensure_future(self._tend()))
@@ -149,7 +149,7 @@
 
     async def give_back(self) -> None:
         """Give back what is not in use, as at a graceful stop."""
-        await self.wallet.release()
+        await self.pools.release()
         await self.allocator.release()
 
     async def _tend(self) -> None:
--- a/features/subjects/evacuated_fleet.py
+++ b/features/subjects/evacuated_fleet.py
@@ -127,7 +127,7 @@
         router.start(ACCOUNT)
         links = ForwardLinks(KeptLinks(self._connect), HeaderNames(), self._clock)
         self._routers.append(router)
-        self._runners.append(Runner(router.dispatcher, router.wallet, links, self._clock))
+        self._runners.append(Runner(router.dispatcher, router.pools, links, self._clock))
 
     async def _start_one(self, number: int) -> None:
         self._start_router(number)
--- a/features/subjects/forward_runs.py
+++ b/features/subjects/forward_runs.py
@@ -25,8 +25,8 @@
 from endivesaddle.fleet.routes.forwarded import ForwardRequest, Pairs, ServerCall
 from endivesaddle.fleet.routes.grant_group import AllocatorContext
 from endivesaddle.fleet.routes.known import Known
+from endivesaddle.fleet.routes.prepaid_pools import PrepaidPools, PrepaidPoolsParts
 from endivesaddle.fleet.routes.running import Runner
-from endivesaddle.fleet.routes.wallet import Wallet, WalletParts
 from endivesaddle.fleet.routing.backends import Backend
 from endivesaddle.fleet.routing.choosing import NoDesks
 from endivesaddle.fleet.routing.dispatcher import Dispatcher
@@ -318,11 +318,11 @@
 
     def spent(self) -> float:
         """Return the tokens that the account spent."""
-        return self.wallet.dump()[ACCOUNT]['spent_tokens']
+        return self.pools.dump()[ACCOUNT]['spent_tokens']
 
     def reserved(self) -> float:
         """Return the tokens that are still set aside."""
-        return self.wallet.dump()[ACCOUNT]['reserved_tokens']
+        return self.pools.dump()[ACCOUNT]['reserved_tokens']
 
     def numbers(self) -> list[int]:
         """Return the numbers of the events that the caller got."""
@@ -341,13 +341,13 @@
         self._keeping = asyncio.ensure_future(allocator.run())
         choice = AllocatorChoice(Alone(), 'one', self._clock)
         timed = TimedPeers(MemoryNet(self._clock).peers('one'), self._clock)
-        self.wallet = Wallet(
-            WalletParts('one', 'one', self._known, choice, allocator, timed, self._clock)
+        self.pools = PrepaidPools(
+            PrepaidPoolsParts('one', 'one', self._known, choice, allocator, timed, self._clock)
         )
         dispatcher = Dispatcher(ForwardSettings(), self._known, self._clock, 'one')
         self.desks = CountingDesks()
         dispatcher.desks = self.desks
-        self.runner = Runner(dispatcher, self.wallet, self.links, self._clock)
+        self.runner = Runner(dispatcher, self.pools, self.links, self._clock)
 
     async def _request(self) -> None:
         began_unix_s = self._clock.now_s()
--- a/features/subjects/saying_servers.py
+++ b/features/subjects/saying_servers.py
@@ -148,7 +148,7 @@
         router.start(ACCOUNT)
         links = ForwardLinks(KeptLinks(self._connect), HeaderNames(), self._clock)
         self._routers.append(router)
-        self._runners.append(Runner(router.dispatcher, router.wallet, links, self._clock))
+        self._runners.append(Runner(router.dispatcher, router.pools, links, self._clock))
 
     async def _enter(self, number: int, born_unix_ms: int) -> None:
         address = f'10.0.2.{number}:1'
--- a/features/subjects/shares.py
+++ b/features/subjects/shares.py
@@ -13,8 +13,8 @@
 from endivesaddle.fleet.routes.grant_group import GROUPS, PREFIX, AllocatorContext
 from endivesaddle.fleet.routes.grants import Entry, decode
 from endivesaddle.fleet.routes.known import Known
+from endivesaddle.fleet.routes.prepaid_pools import PrepaidPools, PrepaidPoolsParts
 from endivesaddle.fleet.routes.reservation import Reservation
-from endivesaddle.fleet.routes.wallet import Wallet, WalletParts
 from endivesaddle.fleet.sentinels import Refusal
 from endivesaddle.stand_ins.memory_peers import MemoryNet
 from endivesaddle.stand_ins.memory_store import MemoryStore
@@ -52,7 +52,7 @@
         self.spent = 0
         self.version = 0
         self.names: list[str] = []
-        self.wallets: dict[str, Wallet] = {}
+        self.pools: dict[str, PrepaidPools] = {}
         self.allocators: dict[str, Allocator] = {}
         self.known: dict[str, Known] = {}
         self.net = MemoryNet(self._clock)
@@ -107,7 +107,7 @@
 
     def granted_to(self, router: int) -> int:
         """Return what a router has drawn and not given back."""
-        return int(self.wallets[self.names[router]].dump()[ACCOUNT]['granted_tokens'])
+        return int(self.pools[self.names[router]].dump()[ACCOUNT]['granted_tokens'])
 
     def kept_ahead(self) -> int:
         """Return what the store has on record as granted and no router holds."""
@@ -116,7 +116,7 @@
 
     def used_by(self, router: int) -> int:
         """Return what a router has spent and reserved."""
-        share = self.wallets[self.names[router]].dump()[ACCOUNT]
+        share = self.pools[self.names[router]].dump()[ACCOUNT]
         return int(share['spent_tokens'] + share['reserved_tokens'])
 
     def release(self, router: int) -> None:
@@ -138,7 +138,7 @@
     async def _start_all(self, count: int) -> None:
         self.names = []
         for _ in range(count):
-            await self._start(f'router-{len(self.wallets)}')
+            await self._start(f'router-{len(self.pools)}')
 
     async def _start(self, name: str) -> None:
         known = Known()
@@ -147,12 +147,14 @@
         choice = AllocatorChoice(Others(self, name), name, self._clock)
         peers = self.net.peers(name)
         timed = TimedPeers(peers, self._clock)
-        wallet = Wallet(WalletParts(name, name, known, choice, allocator, timed, self._clock))
+        pools = PrepaidPools(
+            PrepaidPoolsParts(name, name, known, choice, allocator, timed, self._clock)
+        )
         handlers = Handlers()
         allocator.register(handlers)
         self.net.serve(name, handlers)
         self.names.append(name)
-        self.wallets[name] = wallet
+        self.pools[name] = pools
         self.allocators[name] = allocator
         self.known[name] = known
         self._running[name] = anyio.CancelScope()
@@ -164,7 +166,7 @@
             with self._running[name]:
                 async with anyio.create_task_group() as group:
                     group.start_soon(self.allocators[name].run)
-                    group.start_soon(self.wallets[name].run)
+                    group.start_soon(self.pools[name].run)
 
         self._tasks.append(asyncio.ensure_future(run()))
 
@@ -173,7 +175,7 @@
             await self._release_one(name)
 
     async def _release_one(self, name: str) -> None:
-        await self.wallets[name].release()
+        await self.pools[name].release()
         await self.allocators[name].release()
 
     async def _kill(self) -> None:
@@ -192,7 +194,7 @@
 
     async def _reserve(self, name: str, tokens: int) -> Reservation | Refusal:
         account = RouteAccount(ACCOUNT, (), None, self.total)
-        return await self.wallets[name].reserve(account, tokens)
+        return await self.pools[name].reserve(account, tokens)
 
     async def _reserve_together(
         self, name: str, tokens: int, count: int
--- a/features/subjects/slow_connections.py
+++ b/features/subjects/slow_connections.py
@@ -67,7 +67,7 @@
         clock = LoopClock()
         links = ForwardLinks(KeptLinks(self.network.connect), HeaderNames(), clock)
         dispatcher = self.runs.runner.parts.dispatcher
-        self.runs.runner = Runner(dispatcher, self.runs.wallet, links, clock)
+        self.runs.runner = Runner(dispatcher, self.runs.pools, links, clock)
         self.left = ''
 
     def close(self) -> None:
--- a/features/subjects/slow_own_link.py
+++ b/features/subjects/slow_own_link.py
@@ -111,7 +111,7 @@
                 await anyio.sleep(1 / per_s)
 
     async def _one(self, tokens: int) -> None:
-        reservation = await self._router.wallet.reserve(ACCOUNT, tokens)
+        reservation = await self._router.pools.reserve(ACCOUNT, tokens)
         if isinstance(reservation, Refusal):
             self.refused += 1
             return
--- a/features/subjects/store_relay.py
+++ b/features/subjects/store_relay.py
@@ -90,7 +90,7 @@
 
     def hold(self, router: int, tokens: int) -> Reservation | Refusal:
         """Reserve for a request and leave it open."""
-        return self._loop.run(self.routers[router].wallet.reserve, self._account(), tokens)
+        return self._loop.run(self.routers[router].pools.reserve, self._account(), tokens)
 
     def kill(self, router: int) -> None:
         """Lose one router, and start another life of it in its place."""
@@ -258,7 +258,7 @@
         await anyio.sleep(0.5)
 
     async def _spend(self, router: int, tokens: int) -> bool:
-        reservation = await self.routers[router].wallet.reserve(self._account(), tokens)
+        reservation = await self.routers[router].pools.reserve(self._account(), tokens)
         if isinstance(reservation, Refusal):
             return False
         reservation.settle(tokens)
--- a/packages/daemon/src/endivesaddle/daemon/forward_parts.py
+++ b/packages/daemon/src/endivesaddle/daemon/forward_parts.py
@@ -11,8 +11,8 @@
 from endivesaddle.fleet.routes.grant_group import AllocatorContext
 from endivesaddle.fleet.routes.header_names import HeaderNames
 from endivesaddle.fleet.routes.known import Contact, Known
+from endivesaddle.fleet.routes.prepaid_pools import PrepaidPools, PrepaidPoolsParts
 from endivesaddle.fleet.routes.roster import ROUTER, Instance, Roster
-from endivesaddle.fleet.routes.wallet import Wallet, WalletParts
 from endivesaddle.fleet.routes.ways import ReachedStore
 from endivesaddle.fleet.routing.dispatcher import Dispatcher
 
@@ -33,7 +33,7 @@
     contact: Contact
     dispatcher: Dispatcher
     roster: Roster
-    wallet: Wallet
+    pools: PrepaidPools
     allocator: Allocator
 
 
@@ -50,7 +50,7 @@
     roster = Roster(store, clock, own)
     allocator = Allocator(AllocatorContext(place.lifetime, place.listen, store, clock, peers))
     choice = AllocatorChoice(roster, place.listen, clock)
-    wallet = Wallet(
-        WalletParts(place.lifetime, place.listen, known, choice, allocator, peers, clock)
+    pools = PrepaidPools(
+        PrepaidPoolsParts(place.lifetime, place.listen, known, choice, allocator, peers, clock)
     )
-    return Decisions(store, known, contact, dispatcher, roster, wallet, allocator)
+    return Decisions(store, known, contact, dispatcher, roster, pools, allocator)
--- a/packages/daemon/src/endivesaddle/daemon/forwarder.py
+++ b/packages/daemon/src/endivesaddle/daemon/forwarder.py
@@ -76,7 +76,7 @@
         self._crashes = StoredCrashes(parts.store, parts.dispatcher.crashes, clock)
         self._metrics = ForwardMetrics(self.state)
         parts.store.observer = self._metrics.store_called
-        runner = Runner(parts.dispatcher, parts.wallet, self.links, clock)
+        runner = Runner(parts.dispatcher, parts.pools, self.links, clock)
         self._app = ForwardApp(
             ForwardParts(
                 settings.http,
@@ -94,7 +94,7 @@
         handlers = Handlers()
         self.neighbours.register(handlers)
         self.parts.allocator.register(handlers)
-        self.parts.wallet.register(handlers)
+        self.parts.pools.register(handlers)
         answer_store(handlers, self.parts.store.direct, self._clock)
         async with (
             serve_calls(handlers, self._settings.place.listen, self._settings.links),
@@ -114,7 +114,7 @@
             'instance': self._settings.place.instance,
             'lifetime': self._settings.place.lifetime,
             'routers': parts.roster.others,
-            'shares': parts.wallet.dump(),
+            'shares': parts.pools.dump(),
             'grants': parts.allocator.dump(),
             'servers': parts.dispatcher.dump(),
             'evacuated': sorted(known.evacuations.names),
@@ -151,7 +151,7 @@
             self.parts.roster.run,
             self.neighbours.run,
             self.parts.allocator.run,
-            self.parts.wallet.run,
+            self.parts.pools.run,
             self._desks.run,
             self._crashes.run,
             self._lateness.run,
@@ -175,7 +175,7 @@
 
     def _ready(self) -> bool:
         known = self.parts.known
-        able = self.parts.wallet.ready() and bool(known.servers) and known.evacuations.heard
+        able = self.parts.pools.ready() and bool(known.servers) and known.evacuations.heard
         return able and not self._stopping.leaving
 
     async def _stop(self) -> None:
@@ -200,7 +200,7 @@
 
     async def _give_back(self) -> None:
         """Give the keepers back what is not in use, and the store what is kept here."""
-        await self.parts.wallet.release()
+        await self.parts.pools.release()
         await self.parts.allocator.release()
 
     async def _tend(self) -> None:
@@ -210,7 +210,7 @@
             await anyio.sleep(TEND_S)
             self.parts.store.relays = self.parts.roster.relays
             self.parts.store.hubs = self.parts.roster.hubs
-            self.parts.wallet.routers = len(self.parts.roster.others) + 1
+            self.parts.pools.routers = len(self.parts.roster.others) + 1
             present = set(self.parts.known.servers)
             self.parts.dispatcher.backends.drop_all_but(present, self._clock.now_s())
             for lifetime in links.lifetimes() - present:
--- a/packages/fleet/src/endivesaddle/fleet/routes/allocator.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/allocator.py
@@ -150,8 +150,8 @@
 
     def _part(self, grant: Grant, word: DrawWord, unseen: int) -> int:
         """Return what to give: for all that waits, and more but near the end of the total."""
-        given = min(grant.ahead, max(word.needed, word.waiting) - unseen)
-        more = min(word.wanted - unseen - given, (grant.ahead - given) // LEAST_PART)
+        given = min(grant.available, max(word.needed, word.waiting) - unseen)
+        more = min(word.wanted - unseen - given, (grant.available - given) // LEAST_PART)
         return given + max(0, more)
 
     async def _make_room(
--- a/packages/fleet/src/endivesaddle/fleet/routes/grants.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/grants.py
@@ -133,7 +133,7 @@
     return msgspec.json.encode(records)
 
 
-class Holding:
+class TokenBalance:
     """Tokens of one account that one instance may use, and how fast it uses them."""
 
     def __init__(self, now_unix_s: float) -> None:
@@ -151,7 +151,7 @@
         return self.spent + self.reserved
 
     @property
-    def ahead(self) -> int:
+    def available(self) -> int:
         """Tokens that are not in use."""
         return self.granted - self.used
 
@@ -180,7 +180,7 @@
         return self._admitted_tokens / max(LEAST_WINDOW_S, passed_s)
 
 
-class Grant(Holding):
+class Grant(TokenBalance):
     """One keeper's grant of one account: decisions only, no input or output.
 
     All amounts are tokens.  ``granted`` is what the store is sure to have on
@@ -225,8 +225,8 @@
         stranded = STRANDED_SHARE * (left / self.total) ** STRANDED_POWER
         most = min(left / LEAST_PART, self.total * (LEAST_SHARE + stranded))
         share = IDLE_SHARE if self.reported or self.used else UNUSED_SHARE
-        ahead = min(most, self.rate_per_s(now_unix_s) * HEADROOM_S)
-        return min(left, int(max(left * share, ahead)))
+        available = min(most, self.rate_per_s(now_unix_s) * HEADROOM_S)
+        return min(left, int(max(left * share, available)))
 
     def wanted(self, headroom: int) -> int:
         """Return the grant to ask for, with what waits for it.
@@ -239,9 +239,11 @@
 
     def worth_writing(self, headroom: int) -> bool:
         """Tell whether what is held ahead is so far from what is wanted that a write pays."""
-        if self.ahead > HIGH * headroom + SMALL_TOKENS:
+        if self.available > HIGH * headroom + SMALL_TOKENS:
             return True
-        return self.ahead < LOW * headroom and self.wanted(headroom) > self.granted + SMALL_TOKENS
+        return (
+            self.available < LOW * headroom and self.wanted(headroom) > self.granted + SMALL_TOKENS
+        )
 
     def exhausted(self, tokens: int, orphaned: int) -> bool:
         """Tell whether it is certain that the rest of the total doesn't cover a worst case.
--- a/packages/fleet/src/endivesaddle/fleet/routes/wallet.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/prepaid_pools.py
@@ -13,11 +13,11 @@
 from endivesaddle.fleet.errors import FleetError
 from endivesaddle.fleet.ports import Handlers
 from endivesaddle.fleet.routes import events, sidecar_events
+from endivesaddle.fleet.routes.account_pool import AccountPool, Reported
 from endivesaddle.fleet.routes.allocator import Allocator
 from endivesaddle.fleet.routes.allocator_choice import LEAVING_S, AllocatorChoice
 from endivesaddle.fleet.routes.call_times import TimedPeers
 from endivesaddle.fleet.routes.declared import RouteAccount
-from endivesaddle.fleet.routes.drawn import DrawnAccount, Told
 from endivesaddle.fleet.routes.grant_group import GROUPS, group_of
 from endivesaddle.fleet.routes.grants import HIGH, SMALL_TOKENS
 from endivesaddle.fleet.routes.known import Known
@@ -58,7 +58,7 @@
 UNAVAILABLE = 503
 
 
-class WalletParts(NamedTuple):
+class PrepaidPoolsParts(NamedTuple):
     """What a wallet works with; ``own`` is the keeper in the same process."""
 
     lifetime: str
@@ -70,15 +70,15 @@
     clock: Clock
 
 
-class Wallet:
+class PrepaidPools:
     """All that one life of a router holds."""
 
-    def __init__(self, parts: WalletParts) -> None:
+    def __init__(self, parts: PrepaidPoolsParts) -> None:
         """Start with nothing."""
         self.routers = 1
         self.releasing = False
         self._parts = parts
-        self._accounts: dict[str, DrawnAccount] = {}
+        self._pools: dict[str, AccountPool] = {}
         self._lives: dict[str, str] = {}
         self._ended: set[str] = set()
         self._asked_of: dict[str, tuple[str, ...]] = {}
@@ -105,24 +105,24 @@
         """Set a worst case aside, drawing more if need be; ``request_id`` is for the log."""
         if account.total_tokens is None or tokens <= 0:
             return Reservation(None, 0)
-        held = self._account(account.name)
+        pool = self._pool(account.name)
         state = DrawAnswer.AWAY
-        if not held.holding.fits(tokens):
-            held.waiting += tokens
+        if not pool.balance.fits(tokens):
+            pool.waiting += tokens
             try:
                 with anyio.move_on_after(WAIT_S):
-                    state = await self._draw(held, account, tokens)
+                    state = await self._draw(pool, account, tokens)
             finally:
-                held.waiting -= tokens
-        if held.holding.fits(tokens):
-            held.holding.reserve(tokens, self._parts.clock.now_s())
-            return Reservation(held.holding, tokens)
+                pool.waiting -= tokens
+        if pool.balance.fits(tokens):
+            pool.balance.reserve(tokens, self._parts.clock.now_s())
+            return Reservation(pool.balance, tokens)
         return self._short(account, tokens, request_id, state)
 
     async def look(self) -> None:
         """Tell the keepers what was spent, and give back what is not needed soon."""
         for name in self._limited():
-            self._give_back(self._account(name))
+            self._give_back(self._pool(name))
         requests = self._requests()
         async with anyio.create_task_group() as group:
             for address, request in requests.items():
@@ -142,11 +142,11 @@
         """Return what is held for operators."""
         return {
             name: {
-                'granted_tokens': held.holding.granted,
-                'spent_tokens': held.holding.spent,
-                'reserved_tokens': held.holding.reserved,
+                'granted_tokens': pool.balance.granted,
+                'spent_tokens': pool.balance.spent,
+                'reserved_tokens': pool.balance.reserved,
             }
-            for name, held in self._accounts.items()
+            for name, pool in self._pools.items()
         }
 
     async def _tell_held(self, asked: HeldRequest) -> HeldReply:
@@ -155,12 +155,12 @@
         claims = [self._claim(life) for life in asked.ended]
         return HeldReply(lifetime=self._parts.lifetime, claims=claims)
 
-    def _account(self, name: str) -> DrawnAccount:
-        held = self._accounts.get(name)
-        if held is None:
-            held = DrawnAccount(self._parts.clock.now_s())
-            self._accounts[name] = held
-        return held
+    def _pool(self, name: str) -> AccountPool:
+        pool = self._pools.get(name)
+        if pool is None:
+            pool = AccountPool(self._parts.clock.now_s())
+            self._pools[name] = pool
+        return pool
 
     def _limited(self) -> list[str]:
         """Return the names of the accounts that have a total."""
@@ -168,18 +168,18 @@
         accounts = book.accounts.values() if book else ()
         return [one.name for one in accounts if one.total_tokens is not None]
 
-    def _near(self, held: DrawnAccount) -> int:
+    def _near(self, pool: AccountPool) -> int:
         if self.releasing:
             return 0
-        return int(NEAR_S * held.holding.rate_per_s(self._parts.clock.now_s()))
+        return int(NEAR_S * pool.balance.rate_per_s(self._parts.clock.now_s()))
 
-    def _give_back(self, held: DrawnAccount) -> None:
-        near = self._near(held)
-        ahead = held.holding.ahead - held.waiting
+    def _give_back(self, pool: AccountPool) -> None:
+        near = self._near(pool)
+        available = pool.balance.available - pool.waiting
         most = 0 if self.releasing else HIGH * near + SMALL_TOKENS
-        if ahead > most:
+        if available > most:
             present = set(self._lives.values())
-            held.give_back(ahead - near, [life for life in held.drawn if life in present])
+            pool.give_back(available - near, [life for life in pool.drawn if life in present])
 
     def _requests(self) -> dict[str, DrawRequest]:
         """Return what to tell each keeper: what changed, and which groups are kept there."""
@@ -188,12 +188,12 @@
         for number, address in allocators.items():
             requests[address].groups.append(number)
         for name in self._limited():
-            held = self._account(name)
+            pool = self._pool(name)
             current = allocators[group_of(name)]
-            addresses = {drawn.address for drawn in held.drawn.values()} | {current}
+            addresses = {drawn.address for drawn in pool.drawn.values()} | {current}
             for address in addresses:
-                if self._to_tell(name, held, address):
-                    requests[address].words.append(self._word(name, held, address))
+                if self._to_tell(name, pool, address):
+                    requests[address].words.append(self._word(name, pool, address))
         for address, request in requests.items():
             request.keeper = self._lives.get(address, '')
             request.claims.extend(self._claims(address))
@@ -204,12 +204,12 @@
         return [self._claim(life) for life in self._asked_of.get(address, ())]
 
     def _claim(self, life: str) -> Claim:
-        out = {name: held.out_of(life) for name, held in self._accounts.items()}
+        out = {name: pool.out_of(life) for name, pool in self._pools.items()}
         return Claim(keeper=life, out=out)
 
-    def _to_tell(self, name: str, held: DrawnAccount, address: str) -> bool:
+    def _to_tell(self, name: str, pool: AccountPool, address: str) -> bool:
         usable = self._parts.choice.usable(address)
-        return usable and held.news(self._lives.get(address, ''), self._total(name))
+        return usable and pool.news(self._lives.get(address, ''), self._total(name))
 
     def _first_allocator(self, group: int) -> str:
         return self._parts.choice.ranked(group)[0]
@@ -226,39 +226,39 @@
             return 0
         return account.total_tokens
 
-    def _word(self, name: str, held: DrawnAccount, address: str) -> DrawWord:
-        return held.word(name, self._lives.get(address, ''), self._total(name))
+    def _word(self, name: str, pool: AccountPool, address: str) -> DrawWord:
+        return pool.word(name, self._lives.get(address, ''), self._total(name))
 
     async def _draw(
-        self, held: DrawnAccount, account: RouteAccount, tokens: int
+        self, pool: AccountPool, account: RouteAccount, tokens: int
     ) -> DrawAnswer.State:
         """Draw what all waiting requests of an account need; return what the last keeper said."""
         state: DrawAnswer.State = DrawAnswer.AWAY
-        async with held.lock:
+        async with pool.lock:
             for address in self._parts.choice.ranked(group_of(account.name)):
-                state = await self._draw_all(address, held, account.name, tokens)
-                if held.holding.fits(tokens) or state in KNOWING:
+                state = await self._draw_all(address, pool, account.name, tokens)
+                if pool.balance.fits(tokens) or state in KNOWING:
                     break
         return state
 
     async def _draw_all(
-        self, address: str, held: DrawnAccount, name: str, tokens: int
+        self, address: str, pool: AccountPool, name: str, tokens: int
     ) -> DrawAnswer.State:
         """Ask one keeper until it gave enough, or says that it can't."""
         state: DrawAnswer.State = DrawAnswer.READY
-        while state in PROMISING and not held.holding.fits(tokens):
-            state = await self._draw_from(address, held, name, tokens)
+        while state in PROMISING and not pool.balance.fits(tokens):
+            state = await self._draw_from(address, pool, name, tokens)
         return state
 
     async def _draw_from(
-        self, address: str, held: DrawnAccount, name: str, tokens: int
+        self, address: str, pool: AccountPool, name: str, tokens: int
     ) -> DrawAnswer.State:
         request = self._request()
         request.keeper = self._lives.get(address, '')
-        word = self._word(name, held, address)
-        word.needed = tokens - held.holding.ahead
-        word.waiting = max(word.needed, held.waiting - held.holding.ahead)
-        word.wanted = word.waiting + self._near(held)
+        word = self._word(name, pool, address)
+        word.needed = tokens - pool.balance.available
+        word.waiting = max(word.needed, pool.waiting - pool.balance.available)
+        word.wanted = word.waiting + self._near(pool)
         request.words.append(word)
         # What the keeper gives is for all who wait: the first of them must not end the call when
         # its own time is over, or on a slow link none would ever have an answer.
@@ -306,23 +306,23 @@
         if reply.leaving:
             self._parts.choice.avoid(address, LEAVING_S)
         for word, answer in zip(request.words, reply.answers, strict=True):
-            held = self._account(answer.account)
-            drawn = held.take_in(reply.lifetime, address, answer.drawn)
+            pool = self._pool(answer.account)
+            drawn = pool.take_in(reply.lifetime, address, answer.drawn)
             if request.keeper == reply.lifetime:
-                drawn.told = Told(word.returned, word.spent, word.total)
+                drawn.reported = Reported(word.returned, word.spent, word.total)
 
     def _short(
         self, account: RouteAccount, tokens: int, request_id: str, state: DrawAnswer.State
     ) -> Refusal:
-        held = self._account(account.name)
+        pool = self._pool(account.name)
         events.GRANT_SHORT.log(
             request_id=request_id,
             account=account.name,
             keeper=self._first_allocator(group_of(account.name)),
             keeper_said=DrawAnswer.State.Name(state),
             needed_tokens=tokens,
-            granted_tokens=held.holding.granted,
-            used_tokens=held.holding.used,
+            granted_tokens=pool.balance.granted,
+            used_tokens=pool.balance.used,
             total_tokens=account.total_tokens,
         )
         if state == DrawAnswer.EXHAUSTED:
--- a/packages/fleet/src/endivesaddle/fleet/routes/running.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/running.py
@@ -7,9 +7,9 @@
 from endivesaddle.fleet.routes.carrying import Carrying, CarryingParts, refuse
 from endivesaddle.fleet.routes.crash_watch import CrashWatch
 from endivesaddle.fleet.routes.forwarded import ForwardRequest, ServerLinks, Sink
+from endivesaddle.fleet.routes.prepaid_pools import PrepaidPools
 from endivesaddle.fleet.routes.progress import Progress
 from endivesaddle.fleet.routes.reservation import Reservation
-from endivesaddle.fleet.routes.wallet import Wallet
 from endivesaddle.fleet.routing.dispatcher import Dispatcher
 from endivesaddle.fleet.sentinels import Refusal
 
@@ -21,12 +21,12 @@
     """Serves requests of one router; ``serve`` carries one from start to end."""
 
     def __init__(
-        self, dispatcher: Dispatcher, wallet: Wallet, links: ServerLinks, clock: Clock
+        self, dispatcher: Dispatcher, pools: PrepaidPools, links: ServerLinks, clock: Clock
     ) -> None:
         """Carry requests over ``links``."""
         crashes = CrashWatch(dispatcher.crashes, dispatcher.known, links, clock)
         self.parts = CarryingParts(dispatcher, links, clock, crashes)
-        self._wallet = wallet
+        self._pools = pools
 
     async def serve(self, request: ForwardRequest, sink: Sink) -> None:
         """Give a request its answer; a cancelled call settles what it reserved."""
@@ -36,7 +36,7 @@
             return
         reservation: Reservation | Refusal = Reservation(None, 0)
         if request.account is not None:
-            reservation = await self._wallet.reserve(
+            reservation = await self._pools.reserve(
                 request.account, request.cost_tokens, request.request_id
             )
         if isinstance(reservation, Refusal):
