--- a/features/steps/store_relay_steps.py
+++ b/features/steps/store_relay_steps.py
@@ -64,7 +64,7 @@
 @then('each router knows {count:d} sidecars')
 def knows(context: Any, count: int) -> None:
     """Look at what each has on record."""
-    assert {len(roster.sidecars) for roster in context.cut.rosters} == {count}
+    assert {len(directory.sidecars) for directory in context.cut.directories} == {count}
 
 
 @then('each router followed the store in vain at most {most:d} times')
@@ -187,7 +187,7 @@
 @then('a router without the list is told it by another that has it')
 def told(context: Any) -> None:
     """Leave the list out of what one router knows."""
-    have, lack = context.cut.rosters
+    have, lack = context.cut.directories
     lack.sidecars = ()
     context.cut.routers[1].contact.lost('cut off')
     context.cut.sleep(1)
--- a/features/subjects/crashing_fleet.py
+++ b/features/subjects/crashing_fleet.py
@@ -12,7 +12,7 @@
 from endivesaddle.fleet.clock import LoopClock
 from endivesaddle.fleet.routes.declared import Repeat, Route, RouteAccount, RouteServer, Target
 from endivesaddle.fleet.routes.forwarded import ForwardRequest, ServerCall
-from endivesaddle.fleet.routes.roster import PREFIX as ENTRIES
+from endivesaddle.fleet.routes.instance_directory import PREFIX as ENTRIES
 from endivesaddle.fleet.routes.running import Runner
 from endivesaddle.fleet.seams import ServerLost, ServerRefused
 from endivesaddle.stand_ins.memory_store import MemoryStore
--- a/features/subjects/cut_router.py
+++ b/features/subjects/cut_router.py
@@ -14,11 +14,11 @@
 from endivesaddle.fleet.routes.declared import Declared, RouteAccount, RouteServer
 from endivesaddle.fleet.routes.following import Decoder, Follower
 from endivesaddle.fleet.routes.grant_group import AllocatorContext
+from endivesaddle.fleet.routes.instance_directory import ROUTER, Instance, InstanceDirectory
 from endivesaddle.fleet.routes.known import Contact, Known
 from endivesaddle.fleet.routes.neighbours import NeighbourParts, Neighbours
 from endivesaddle.fleet.routes.prepaid_pools import PrepaidPools, PrepaidPoolsParts
 from endivesaddle.fleet.routes.remote_store import answer_store
-from endivesaddle.fleet.routes.roster import ROUTER, Instance, Roster
 from endivesaddle.fleet.routes.stored_crashes import StoredCrashes
 from endivesaddle.fleet.routes.ways import ReachedStore
 from endivesaddle.fleet.routing.dispatcher import Dispatcher
@@ -95,11 +95,11 @@
         self.contact = Contact(clock)
         self.known = Known()
         own = Instance(ROUTER, name, address, 'porto-a')
-        self.roster = Roster(self.way, clock, own)
+        self.directory = InstanceDirectory(self.way, clock, own)
         self.allocator = Allocator(
             AllocatorContext(name, address, self.way, clock, net.peers(address))
         )
-        choice = AllocatorChoice(self.roster, address, clock)
+        choice = AllocatorChoice(self.directory, address, clock)
         peers = TimedPeers(net.peers(address), clock)
         self.peers = peers
         self.pools = PrepaidPools(
@@ -111,7 +111,7 @@
                 self.known,
                 self.contact,
                 self.dispatcher,
-                self.roster,
+                self.directory,
                 decoder,
                 (),
             ),
@@ -136,7 +136,7 @@
         self.pools.register(handlers)
         answer_store(handlers, self.cut, self._clock)
         self._net.serve(self.address, handlers)
-        parts = (self.way, self.roster, self.allocator, self.pools, self._neighbours)
+        parts = (self.way, self.directory, self.allocator, self.pools, self._neighbours)
         tasks = (*parts, self._follower, self._crashes)
         self._tasks = [asyncio.ensure_future(part.run()) for part in tasks]
         self._tasks.append(asyncio.ensure_future(self._tend()))
@@ -155,5 +155,5 @@
     async def _tend(self) -> None:
         while True:
             await anyio.sleep(0.5)
-            self.way.relays = self.roster.relays
-            self.way.hubs = self.roster.hubs
+            self.way.relays = self.directory.relays
+            self.way.hubs = self.directory.hubs
--- a/features/subjects/desks.py
+++ b/features/subjects/desks.py
@@ -83,8 +83,8 @@
         self._net.observers.append(self._observe)
         self.backends = Backends()
         peers = self._net.peers('10.0.0.1:1')
-        roster = Sidecars(tuple(addresses))
-        self.router = SidecarDesks(self.backends, roster, peers, self._clock, ROUTER)
+        directory = Sidecars(tuple(addresses))
+        self.router = SidecarDesks(self.backends, directory, peers, self._clock, ROUTER)
         self._task = asyncio.ensure_future(self.router.run())
 
     async def _observe(self, moment: object) -> None:
--- a/features/subjects/forward_runs.py
+++ b/features/subjects/forward_runs.py
@@ -246,7 +246,7 @@
     """A router that knows no others."""
 
     sidecars = ()
-    looked = True
+    loaded = True
     others: MappingProxyType[str, str] = MappingProxyType({})
 
 
--- a/features/subjects/large_declarations.py
+++ b/features/subjects/large_declarations.py
@@ -10,8 +10,8 @@
 from endivesaddle.fleet.clock import LoopClock
 from endivesaddle.fleet.ports import Handlers
 from endivesaddle.fleet.routes.declared import RouteAccount
+from endivesaddle.fleet.routes.instance_directory import SIDECAR, Instance, InstanceEntry
 from endivesaddle.fleet.routes.remote_store import answer_store
-from endivesaddle.fleet.routes.roster import SIDECAR, Entry, Instance
 from endivesaddle.fleet.routes.shared_polls import SharedPolls
 from endivesaddle.stand_ins.memory_peers import MemoryNet
 from endivesaddle.stand_ins.memory_store import MemoryStore
@@ -84,7 +84,7 @@
         answer_store(handlers, polls, self._clock)
         self._net.serve(address, handlers)
         own = Instance(SIDECAR, name, address, 'porto-a')
-        await Entry(self._store, self._clock, own, lease_s=90).keep()
+        await InstanceEntry(self._store, self._clock, own, lease_s=90).renew()
 
     async def _start_router(self, name: str, address: str) -> None:
         decoder: Any = module('documents').PlatformDecoder()
--- a/features/subjects/memory_sidecar.py
+++ b/features/subjects/memory_sidecar.py
@@ -5,8 +5,13 @@
 from endivesaddle.fleet.clock import LoopClock
 from endivesaddle.fleet.ports import Handlers
 from endivesaddle.fleet.routes.board import Board
+from endivesaddle.fleet.routes.instance_directory import (
+    SIDECAR,
+    SIDECAR_LEASE_S,
+    Instance,
+    InstanceEntry,
+)
 from endivesaddle.fleet.routes.remote_store import answer_store
-from endivesaddle.fleet.routes.roster import SIDECAR, SIDECAR_LEASE_S, Entry, Instance
 from endivesaddle.fleet.routes.shared_polls import SharedPolls
 from endivesaddle.stand_ins.memory_peers import MemoryNet
 from endivesaddle.stand_ins.memory_store import MemoryStore
@@ -32,4 +37,4 @@
         self._net.serve(self._address, handlers)
         self._polling = asyncio.ensure_future(self._polls.run())
         own = Instance(SIDECAR, self._name, self._address, 'porto-a')
-        await Entry(self._store, self._clock, own, SIDECAR_LEASE_S).keep()
+        await InstanceEntry(self._store, self._clock, own, SIDECAR_LEASE_S).renew()
--- a/features/subjects/news_fleet.py
+++ b/features/subjects/news_fleet.py
@@ -36,7 +36,7 @@
         self.boards = (BOARD,)
         self.settled = True
 
-    def heard(self, lifetime: str, address: str) -> None:
+    def note_call(self, lifetime: str, address: str) -> None:
         """Know it already."""
 
 
--- a/features/subjects/shares.py
+++ b/features/subjects/shares.py
@@ -11,7 +11,7 @@
 from endivesaddle.fleet.routes.call_times import TimedPeers
 from endivesaddle.fleet.routes.declared import Declared, RouteAccount
 from endivesaddle.fleet.routes.grant_group import GROUPS, PREFIX, AllocatorContext
-from endivesaddle.fleet.routes.grants import Entry, decode
+from endivesaddle.fleet.routes.grants import GrantEntry, decode
 from endivesaddle.fleet.routes.known import Known
 from endivesaddle.fleet.routes.prepaid_pools import PrepaidPools, PrepaidPoolsParts
 from endivesaddle.fleet.routes.reservation import Reservation
@@ -27,7 +27,7 @@
     """The other routers as one of them knows them; there are no sidecars."""
 
     sidecars = ()
-    looked = True
+    loaded = True
 
     def __init__(self, shares: 'Shares', name: str) -> None:
         """Know what ``shares`` runs but for ``name``."""
@@ -127,7 +127,7 @@
         """Return how many writes the store has seen."""
         return self.store.calls['swap']
 
-    def _entries(self) -> dict[str, Entry]:
+    def _entries(self) -> dict[str, GrantEntry]:
         keys = [self.store.kept(f'{PREFIX}{number}') for number in range(GROUPS)]
         records = [decode(stored.value).accounts for stored in keys if stored and stored.value]
         return next(record[ACCOUNT].entries for record in records if ACCOUNT in record)
--- a/features/subjects/slow_own_link.py
+++ b/features/subjects/slow_own_link.py
@@ -12,7 +12,12 @@
 from endivesaddle.fleet.routes.declared import RouteAccount
 from endivesaddle.fleet.routes.desks import answer_desk
 from endivesaddle.fleet.routes.grant_group import AllocatorContext, group_of
-from endivesaddle.fleet.routes.roster import SIDECAR, SIDECAR_LEASE_S, Entry, Instance
+from endivesaddle.fleet.routes.instance_directory import (
+    SIDECAR,
+    SIDECAR_LEASE_S,
+    Instance,
+    InstanceEntry,
+)
 from endivesaddle.fleet.routing.engine_desk import EngineDesk
 from endivesaddle.fleet.sentinels import Refusal
 from endivesaddle.stand_ins.memory_peers import MemoryNet, MemoryPeers
@@ -90,7 +95,7 @@
         assert not self.refused
 
     async def _silence_keeper(self) -> None:
-        choice = AllocatorChoice(self._router.roster, ROUTER, self._clock)
+        choice = AllocatorChoice(self._router.directory, ROUTER, self._clock)
         self._net.part({ROUTER}, {choice.ranked(group_of(ACCOUNT.name))[0]})
 
     async def _sidecar(self, name: str, address: str) -> None:
@@ -101,7 +106,7 @@
         self._net.serve(address, handlers)
         self._running.append(asyncio.ensure_future(allocator.run()))
         own = Instance(SIDECAR, name, address, 'porto-a')
-        await Entry(self._store, self._clock, own, SIDECAR_LEASE_S).keep()
+        await InstanceEntry(self._store, self._clock, own, SIDECAR_LEASE_S).renew()
 
     async def _come(self, per_s: float, tokens: int, seconds: float) -> None:
         async with anyio.create_task_group() as group:
--- a/features/subjects/store_relay.py
+++ b/features/subjects/store_relay.py
@@ -15,9 +15,16 @@
 from endivesaddle.fleet.routes.board import Board
 from endivesaddle.fleet.routes.declared import RouteAccount, RouteServer
 from endivesaddle.fleet.routes.grant_group import AllocatorContext
+from endivesaddle.fleet.routes.instance_directory import (
+    PREFIX,
+    ROUTER,
+    SIDECAR,
+    Instance,
+    InstanceDirectory,
+    InstanceEntry,
+)
 from endivesaddle.fleet.routes.remote_store import RemoteStore, answer_store
 from endivesaddle.fleet.routes.reservation import Reservation
-from endivesaddle.fleet.routes.roster import PREFIX, ROUTER, SIDECAR, Entry, Instance, Roster
 from endivesaddle.fleet.routes.ways import SHARED, MadeCall
 from endivesaddle.fleet.routing.backends import Backend, ForwardWant
 from endivesaddle.fleet.routing.dispatcher import Place
@@ -53,7 +60,7 @@
         self._keeping: list[asyncio.Future[None]] = []
         self.routers: list[CutRouter] = []
         self.in_vain: Counter[str] = Counter()
-        self._entries: list[Entry] = []
+        self._entries: list[InstanceEntry] = []
         self._loop.run(self._start, routers, sidecars)
 
     def close(self) -> None:
@@ -61,9 +68,9 @@
         self._loop.close()
 
     @property
-    def rosters(self) -> list[Roster]:
+    def directories(self) -> list[InstanceDirectory]:
         """What each router knows of the others."""
-        return [router.roster for router in self.routers]
+        return [router.directory for router in self.routers]
 
     def cut(self, cut: bool) -> None:
         """Cut all routers off from the store, or heal that."""
@@ -77,7 +84,7 @@
     def lose_replies(self) -> None:
         """Have what the sidecars answer vanish."""
         for router in self.routers:
-            for address in router.roster.sidecars:
+            for address in router.directory.sidecars:
                 self.net.faults[router.address, address] = Fault.LOST_REPLY
 
     def sleep(self, seconds: float) -> None:
@@ -114,7 +121,7 @@
 
     def leave_sidecar(self, sidecar: int) -> None:
         """Stop a sidecar gracefully, with its word on record."""
-        self._loop.run(self._entries[sidecar].end)
+        self._loop.run(self._entries[sidecar].remove)
         self.stop_sidecar(sidecar)
 
     def count_in_vain(self) -> None:
@@ -185,8 +192,8 @@
         for number in range(sidecars):
             await self._start_sidecar(number)
             own = Instance(SIDECAR, f's{number}', _sidecar(number), 'porto-a')
-            entry = Entry(self.store, self._clock, own, lease_s=90)
-            await entry.keep()
+            entry = InstanceEntry(self.store, self._clock, own, lease_s=90)
+            await entry.renew()
             self._entries.append(entry)
         self.routers = [self._router(place) for place in range(routers)]
         for router in self.routers:
--- a/packages/daemon/src/endivesaddle/daemon/forward_parts.py
+++ b/packages/daemon/src/endivesaddle/daemon/forward_parts.py
@@ -10,9 +10,9 @@
 from endivesaddle.fleet.routes.following import Decoder
 from endivesaddle.fleet.routes.grant_group import AllocatorContext
 from endivesaddle.fleet.routes.header_names import HeaderNames
+from endivesaddle.fleet.routes.instance_directory import ROUTER, Instance, InstanceDirectory
 from endivesaddle.fleet.routes.known import Contact, Known
 from endivesaddle.fleet.routes.prepaid_pools import PrepaidPools, PrepaidPoolsParts
-from endivesaddle.fleet.routes.roster import ROUTER, Instance, Roster
 from endivesaddle.fleet.routes.ways import ReachedStore
 from endivesaddle.fleet.routing.dispatcher import Dispatcher
 
@@ -32,7 +32,7 @@
     known: Known
     contact: Contact
     dispatcher: Dispatcher
-    roster: Roster
+    directory: InstanceDirectory
     pools: PrepaidPools
     allocator: Allocator
 
@@ -47,10 +47,10 @@
     contact = Contact(clock)
     dispatcher = Dispatcher(settings.forward, known, clock, place.lifetime)
     own = Instance(ROUTER, place.lifetime, place.listen, settings.forward.forward_data_centre)
-    roster = Roster(store, clock, own)
+    directory = InstanceDirectory(store, clock, own)
     allocator = Allocator(AllocatorContext(place.lifetime, place.listen, store, clock, peers))
-    choice = AllocatorChoice(roster, place.listen, clock)
+    choice = AllocatorChoice(directory, place.listen, clock)
     pools = PrepaidPools(
         PrepaidPoolsParts(place.lifetime, place.listen, known, choice, allocator, peers, clock)
     )
-    return Decisions(store, known, contact, dispatcher, roster, pools, allocator)
+    return Decisions(store, known, contact, dispatcher, directory, pools, allocator)
--- a/packages/daemon/src/endivesaddle/daemon/forwarder.py
+++ b/packages/daemon/src/endivesaddle/daemon/forwarder.py
@@ -63,7 +63,7 @@
         )
         self._call_times = peers.times
         self._desks = SidecarDesks(
-            self.parts.dispatcher.backends, self.parts.roster, peers, clock, place.lifetime
+            self.parts.dispatcher.backends, self.parts.directory, peers, clock, place.lifetime
         )
         self.parts.dispatcher.desks = self._desks
         self._settings = settings
@@ -113,7 +113,7 @@
         return {
             'instance': self._settings.place.instance,
             'lifetime': self._settings.place.lifetime,
-            'routers': parts.roster.others,
+            'routers': parts.directory.others,
             'shares': parts.pools.dump(),
             'grants': parts.allocator.dump(),
             'servers': parts.dispatcher.dump(),
@@ -132,14 +132,14 @@
                 'store_away_here': int(parts.store.away),
                 'servers_heard_age_seconds': parts.dispatcher.servers_heard_s(),
                 'late_seconds': self._lateness.worst_s(),
-                'sidecars_known': len(parts.roster.sidecars),
+                'sidecars_known': len(parts.directory.sidecars),
                 'evacuated_data_centres': len(known.evacuations.names),
                 'cold_withheld': parts.dispatcher.bounds.cold.withheld_count,
                 'limit_withheld': parts.dispatcher.bounds.limits.withheld_count,
                 'unread_headers': len(self.links.unread.names),
                 'unread_names': len(self._ports.decoder.unread.names),
                 'crash_records': len(parts.dispatcher.crashes),
-                'routers_known': len(parts.roster.others) + 1,
+                'routers_known': len(parts.directory.others) + 1,
                 **parts.dispatcher.counts,
             },
         }
@@ -148,7 +148,7 @@
         return [
             self._follower.run,
             self.parts.store.run,
-            self.parts.roster.run,
+            self.parts.directory.run,
             self.neighbours.run,
             self.parts.allocator.run,
             self.parts.pools.run,
@@ -208,9 +208,9 @@
         links = self.links.links
         while True:
             await anyio.sleep(TEND_S)
-            self.parts.store.relays = self.parts.roster.relays
-            self.parts.store.hubs = self.parts.roster.hubs
-            self.parts.pools.routers = len(self.parts.roster.others) + 1
+            self.parts.store.relays = self.parts.directory.relays
+            self.parts.store.hubs = self.parts.directory.hubs
+            self.parts.pools.routers = len(self.parts.directory.others) + 1
             present = set(self.parts.known.servers)
             self.parts.dispatcher.backends.drop_all_but(present, self._clock.now_s())
             for lifetime in links.lifetimes() - present:
--- a/packages/daemon/src/endivesaddle/daemon/store_sidecar.py
+++ b/packages/daemon/src/endivesaddle/daemon/store_sidecar.py
@@ -18,14 +18,14 @@
 from endivesaddle.fleet.routes.board import Board
 from endivesaddle.fleet.routes.desks import answer_desk
 from endivesaddle.fleet.routes.grant_group import AllocatorContext
-from endivesaddle.fleet.routes.remote_store import ForwardStore, answer_store
-from endivesaddle.fleet.routes.roster import (
+from endivesaddle.fleet.routes.instance_directory import (
     SIDECAR,
     SIDECAR_LEASE_S,
     SIDECAR_RENEW_S,
-    Entry,
     Instance,
+    InstanceEntry,
 )
+from endivesaddle.fleet.routes.remote_store import ForwardStore, answer_store
 from endivesaddle.fleet.routes.shared_polls import SharedPolls
 from endivesaddle.fleet.routing.engine_desk import EngineDesk
 from endivesaddle.instances import GrpcPeers
@@ -62,7 +62,7 @@
         self._clock = SteadyClock()
         self._polls = SharedPolls(store, self._clock)
         own = Instance(SIDECAR, settings.lifetime, settings.listen, settings.data_centre)
-        self._entry = Entry(store, self._clock, own, SIDECAR_LEASE_S)
+        self._entry = InstanceEntry(store, self._clock, own, SIDECAR_LEASE_S)
         peers = GrpcPeers(settings.links, self._clock)
         self._allocator = Allocator(
             AllocatorContext(settings.lifetime, settings.listen, store, self._clock, peers)
@@ -87,7 +87,7 @@
     async def _stop(self) -> None:
         """Give grants back, at once and when the routers have given back what they hold."""
         events.LEAVING.log(instance=self._settings.instance)
-        await self._entry.end()
+        await self._entry.remove()
         await self._give_back()
         # Routers look every second, and give back here what they do not need.
         await anyio.sleep(RETURN_S)
--- a/packages/fleet/src/endivesaddle/fleet/routes/allocator_choice.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/allocator_choice.py
@@ -20,9 +20,9 @@
 
 
 class Instances(Protocol):
-    """The instances that are known, once they were ``looked`` for."""
+    """The instances that are known, once their list was ``loaded``."""
 
-    looked: bool
+    loaded: bool
 
     @property
     def sidecars(self) -> Collection[str]:
@@ -51,7 +51,7 @@
         Before, each router would take itself for the keeper of all accounts, and hold an eighth
         of what is left of each for nobody.
         """
-        return self._instances.looked
+        return self._instances.loaded
 
     def ranked(self, group: int) -> list[str]:
         """Return the addresses to ask for a group, the keeper first."""
--- a/packages/fleet/src/endivesaddle/fleet/routes/desks.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/desks.py
@@ -10,7 +10,7 @@
 from endivesaddle.fleet.ports import Handlers, Peers
 from endivesaddle.fleet.routes import sidecar_events
 from endivesaddle.fleet.routes.avoided import Avoided
-from endivesaddle.fleet.routes.roster import Roster
+from endivesaddle.fleet.routes.instance_directory import InstanceDirectory
 from endivesaddle.fleet.routing.backends import Backend, Backends
 from endivesaddle.fleet.routing.engine_desk import EngineDesk, Load, Word
 from endivesaddle.wire import rpcs
@@ -31,11 +31,11 @@
     """One router's words to the sidecars beside engines; one task tells what changed."""
 
     def __init__(
-        self, backends: Backends, roster: Roster, peers: Peers, clock: Clock, lifetime: str
+        self, backends: Backends, directory: InstanceDirectory, peers: Peers, clock: Clock, lifetime: str
     ) -> None:
         """Speak as ``lifetime``; a sidecar stands beside the servers of its host."""
         self._backends = backends
-        self._roster = roster
+        self._directory = directory
         self._peers = peers
         self._clock = clock
         self._lifetime = lifetime
@@ -121,8 +121,8 @@
 
     def _beside(self, backend: Backend) -> str:
         """Return the address of the sidecar beside an engine, '' where none can be asked."""
-        if self._by_host_of is not self._roster.sidecars:
-            self._by_host_of = self._roster.sidecars
+        if self._by_host_of is not self._directory.sidecars:
+            self._by_host_of = self._directory.sidecars
             self._by_host = {_host(address): address for address in self._by_host_of}
         address = self._by_host.get(_host(backend.server.address), '')
         return address if self._avoided.usable(address) else ''
--- a/packages/fleet/src/endivesaddle/fleet/routes/facts.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/facts.py
@@ -6,8 +6,8 @@
 from endivesaddle.fleet.clock import Clock
 from endivesaddle.fleet.routes import events
 from endivesaddle.fleet.routes.declared import RouteServer
+from endivesaddle.fleet.routes.instance_directory import InstanceDirectory
 from endivesaddle.fleet.routes.known import Contact, Known
-from endivesaddle.fleet.routes.roster import Roster
 from endivesaddle.wire import routers_pb2
 
 FRESH_S = 2.5
@@ -17,11 +17,13 @@
 class Facts:
     """What one router tells of the store, and learns from others."""
 
-    def __init__(self, known: Known, contact: Contact, roster: Roster, clock: Clock) -> None:
-        """Tell what ``known`` and ``roster`` hold, and add to them."""
+    def __init__(
+        self, known: Known, contact: Contact, directory: InstanceDirectory, clock: Clock
+    ) -> None:
+        """Tell what ``known`` and ``directory`` hold, and add to them."""
         self._known = known
         self._contact = contact
-        self._roster = roster
+        self._directory = directory
         self._clock = clock
 
     @property
@@ -33,7 +35,7 @@
         """Add what is known here to a reply."""
         known = self._known
         now_unix_s = self._clock.now_s()
-        reply.sidecars.extend(self._roster.sidecars)
+        reply.sidecars.extend(self._directory.sidecars)
         if known.evacuations.heard:
             reply.evacuations_told = True
             reply.evacuations_version = known.evacuations.version
@@ -49,9 +51,9 @@
         """Take in what the router at ``address`` told, as far as it is newer."""
         known = self._known
         now_unix_s = self._clock.now_s()
-        if not self._roster.sidecars:
+        if not self._directory.sidecars:
             # A router that starts while it is cut off learns of them here alone.
-            self._roster.sidecars = tuple(reply.sidecars)
+            self._directory.sidecars = tuple(reply.sidecars)
         if reply.evacuations_told:
             version = reply.evacuations_version
             known.evacuations.replace(reply.evacuated, version, now_unix_s, address)
--- a/packages/fleet/src/endivesaddle/fleet/routes/grants.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/grants.py
@@ -48,7 +48,7 @@
 """Use that has just begun is averaged over this at least."""
 
 
-class Entry(NamedTuple):
+class GrantEntry(NamedTuple):
     """What one life of a keeper was granted, what was spent of it by then, and its use.
 
     ``rate_per_s`` is the tokens that were asked of it in a second, at their worst.
@@ -62,7 +62,7 @@
 class Record(NamedTuple):
     """The grants of one account: entries by lifetime of the keeper."""
 
-    entries: dict[str, Entry]
+    entries: dict[str, GrantEntry]
 
     def others(self, lifetime: str) -> int:
         """Return what all other lives were granted."""
@@ -74,7 +74,7 @@
         if entry is None:
             return self
         granted = min(entry.granted, left)
-        reduced = Entry(granted, min(granted, entry.spent), 0)
+        reduced = GrantEntry(granted, min(granted, entry.spent), 0)
         return Record({**self.entries, lifetime: reduced})
 
     def spent(self) -> int:
@@ -262,5 +262,5 @@
     def entered(self, record: Record, granted: int, now_unix_s: float) -> Record:
         """Return the record with this life's entry changed."""
         rate_per_s = int(self.rate_per_s(now_unix_s))
-        entry = Entry(granted, min(granted, self.spent), rate_per_s)
+        entry = GrantEntry(granted, min(granted, self.spent), rate_per_s)
         return Record({**record.entries, self._lifetime: entry})
--- a/packages/fleet/src/endivesaddle/fleet/routes/held_claims.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/held_claims.py
@@ -16,8 +16,8 @@
 from endivesaddle.fleet.routes import sidecar_events as events
 from endivesaddle.fleet.routes.grant_group import PREFIX, AllocatorContext, GrantGroup
 from endivesaddle.fleet.routes.grants import decode
-from endivesaddle.fleet.routes.roster import PREFIX as INSTANCES
-from endivesaddle.fleet.routes.roster import ROUTER, Instance
+from endivesaddle.fleet.routes.instance_directory import PREFIX as INSTANCES
+from endivesaddle.fleet.routes.instance_directory import ROUTER, Instance
 from endivesaddle.wire import rpcs
 from endivesaddle.wire.routers_pb2 import HeldRequest
 
--- a/packages/fleet/src/endivesaddle/fleet/routes/roster.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/instance_directory.py
@@ -41,7 +41,7 @@
     data_centre: str
 
 
-class Entry:
+class InstanceEntry:
     """This instance's own entry in the store."""
 
     def __init__(
@@ -55,7 +55,7 @@
         self._lease_id = 0
         self._ended = False
 
-    async def keep(self) -> None:
+    async def renew(self) -> None:
         """Renew the entry, or enter; raises what the store raises."""
         if self._ended:
             return
@@ -69,7 +69,7 @@
         await self._store.swap(key, value, 0, deadline_unix_s, lease_id)
         self._lease_id = lease_id
 
-    async def end(self) -> None:
+    async def remove(self) -> None:
         """Take the entry away: a sidecar that stops is asked for nothing more.
 
         Without it one that was replaced stayed on record for 90 s, and each call to it took all
@@ -88,7 +88,7 @@
         """Keep the entry until cancelled, without looking for others."""
         while True:
             try:
-                await self.keep()
+                await self.renew()
             except (StoreUnreachable, StoreUnsure) as error:
                 events.ENTRY_UNKEPT.log(reason=str(error))
                 await anyio.sleep(AWAY_S)
@@ -96,7 +96,7 @@
             await anyio.sleep(renew_s)
 
 
-class Roster:
+class InstanceDirectory:
     """The other routers by lifetime, the sidecars, and this router's own entry.
 
     It is ``settled`` once routers that start at the same time have been looked for.
@@ -106,11 +106,11 @@
         """Enter ``own`` and look for others."""
         self.others: dict[str, str] = {}
         self.sidecars: tuple[str, ...] = ()
-        self.looked = False
+        self.loaded = False
         self.settled = False
         self._near: tuple[str, ...] = ()
         self._all: tuple[str, ...] = ()
-        self._entry = Entry(store, clock, own)
+        self._entry = InstanceEntry(store, clock, own)
         self._heard: dict[str, float] = {}
         self._store = store
         self._clock = clock
@@ -139,7 +139,7 @@
         looks = 0
         while True:
             try:
-                await self._entry.keep()
+                await self._entry.renew()
                 await self._look()
                 looks += 1
                 self.settled = self.settled or looks >= FIRST_LOOKS
@@ -150,7 +150,7 @@
                 continue
             await anyio.sleep(FIRST_LOOK_S if looks < FIRST_LOOKS else RENEW_S)
 
-    def heard(self, lifetime: str, address: str) -> None:
+    def note_call(self, lifetime: str, address: str) -> None:
         """Take in a router that made itself known by a call."""
         if lifetime != self._own.lifetime:
             self._heard[lifetime] = self._clock.now_s()
@@ -178,7 +178,7 @@
         if others.keys() != self.others.keys():
             events.ROSTER.log(routers=len(others) + 1)
         self.others = others
-        self.looked = True
+        self.loaded = True
         self._learn_sidecars([entry for entry in entries if entry.role == SIDECAR])
 
     def _learn_sidecars(self, entries: list[Instance]) -> None:
--- a/packages/fleet/src/endivesaddle/fleet/routes/neighbours.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/neighbours.py
@@ -19,10 +19,10 @@
 from endivesaddle.fleet.routes.declarations import DeclarationsFetch
 from endivesaddle.fleet.routes.facts import Facts
 from endivesaddle.fleet.routes.following import Decoder
+from endivesaddle.fleet.routes.instance_directory import InstanceDirectory
 from endivesaddle.fleet.routes.known import Contact, Known
 from endivesaddle.fleet.routes.left_servers import ANSWER
 from endivesaddle.fleet.routes.news import News, NewsSources, Reader
-from endivesaddle.fleet.routes.roster import Roster
 from endivesaddle.fleet.routing.dispatcher import Dispatcher
 from endivesaddle.fleet.routing.sent_parts import SentPart
 from endivesaddle.wire import routers_pb2, rpcs
@@ -58,7 +58,7 @@
     known: Known
     contact: Contact
     dispatcher: Dispatcher
-    roster: Roster
+    directory: InstanceDirectory
     decoder: Decoder
     seeds: tuple[str, ...]
 
@@ -90,7 +90,7 @@
         parts.known.left.listeners.append(self._met)
         parts.known.limits.listeners.append(self._met)
         self._leaving: set[str] = set()
-        self._facts = Facts(parts.known, parts.contact, parts.roster, clock)
+        self._facts = Facts(parts.known, parts.contact, parts.directory, clock)
         self._declarations = DeclarationsFetch(parts.known, parts.contact, parts.decoder)
         self._large = anyio.Event()
         parts.dispatcher.large_listeners.append(self._sent_large)
@@ -126,15 +126,15 @@
         away = self._parts.contact.away or self._parts.known.book is None
         if self._board_address() and not away:
             return set()
-        known = set(self._parts.roster.others.values())
+        known = set(self._parts.directory.others.values())
         if not known or self._parts.known.book is None:
             known |= set(self._parts.seeds)
         return known - {self._address}
 
     def _count_routers(self) -> None:
-        roster, dispatcher = self._parts.roster, self._parts.dispatcher
-        dispatcher.routers = len(roster.others) + 1
-        dispatcher.bounds.know_routers(self._address, roster.others.values(), roster.settled)
+        directory, dispatcher = self._parts.directory, self._parts.dispatcher
+        dispatcher.routers = len(directory.others) + 1
+        dispatcher.bounds.know_routers(self._address, directory.others.values(), directory.settled)
 
     async def _read_board(self) -> None:
         """With many routers, leave words on a sidecar's board instead of talking with each."""
@@ -142,7 +142,7 @@
         while True:
             now_unix_s = self._clock.now_s()
             if look_unix_s <= now_unix_s:
-                routers = len(self._parts.roster.others) + 1
+                routers = len(self._parts.directory.others) + 1
                 look_unix_s = now_unix_s + max(BOARD_S, routers / BOARDS_PER_S)
             wait_s = look_unix_s - now_unix_s
             address = self._board_address()
@@ -164,7 +164,7 @@
             self._own_news.set()
 
     def _board_address(self) -> str:
-        return next((one for one in self._parts.roster.boards if self._no_board.usable(one)), '')
+        return next((one for one in self._parts.directory.boards if self._no_board.usable(one)), '')
 
     async def _exchange(self, address: str, wait_s: float) -> bool:
         """Leave a word, and take those of others, waiting for news; False without an answer."""
@@ -265,7 +265,7 @@
         return reply
 
     def _hear(self, word: routers_pb2.Word) -> None:
-        self._parts.roster.heard(word.lifetime, word.address)
+        self._parts.directory.note_call(word.lifetime, word.address)
         if word.leaving:
             self._leaving.add(word.lifetime)
         self._lanes[word.lifetime] = (self._clock.now_s(), tuple(word.lanes))
