--- a/features/subjects/cut_router.py
+++ b/features/subjects/cut_router.py
@@ -12,6 +12,7 @@
 from endivesaddle.fleet.routes.allocator_choice import AllocatorChoice
 from endivesaddle.fleet.routes.call_times import TimedPeers
 from endivesaddle.fleet.routes.declared import Declared, RouteAccount, RouteServer
+from endivesaddle.fleet.routes.failover_store import FailoverStore
 from endivesaddle.fleet.routes.following import Decoder, Follower
 from endivesaddle.fleet.routes.grant_group import AllocatorContext
 from endivesaddle.fleet.routes.instance_directory import ROUTER, Instance, InstanceDirectory
@@ -20,7 +21,6 @@
 from endivesaddle.fleet.routes.prepaid_pools import PrepaidPools, PrepaidPoolsParts
 from endivesaddle.fleet.routes.remote_store import answer_store
 from endivesaddle.fleet.routes.stored_crashes import StoredCrashes
-from endivesaddle.fleet.routes.ways import ReachedStore
 from endivesaddle.fleet.routing.dispatcher import Dispatcher
 from endivesaddle.fleet.routing.forward_settings import ForwardSettings
 from endivesaddle.stand_ins.memory_peers import MemoryNet
@@ -91,13 +91,13 @@
         clock = LoopClock()
         self.address = address
         self.cut = CutStore(store, clock)
-        self.way = ReachedStore(self.cut, net.peers(address), clock)
+        self.store = FailoverStore(self.cut, net.peers(address), clock)
         self.contact = Contact(clock)
         self.known = Known()
         own = Instance(ROUTER, name, address, 'porto-a')
-        self.directory = InstanceDirectory(self.way, clock, own)
+        self.directory = InstanceDirectory(self.store, clock, own)
         self.allocator = Allocator(
-            AllocatorContext(name, address, self.way, clock, net.peers(address))
+            AllocatorContext(name, address, self.store, clock, net.peers(address))
         )
         choice = AllocatorChoice(self.directory, address, clock)
         peers = TimedPeers(net.peers(address), clock)
@@ -120,8 +120,8 @@
             name,
             address,
         )
-        self._follower = Follower(self.way, decoder, self.known, clock, self.contact)
-        self._crashes = StoredCrashes(self.way, self.dispatcher.crashes, clock)
+        self._follower = Follower(self.store, decoder, self.known, clock, self.contact)
+        self._crashes = StoredCrashes(self.store, self.dispatcher.crashes, clock)
         self._net = net
         self._clock = clock
         self._tasks: list[asyncio.Future[None]] = []
@@ -136,7 +136,7 @@
         self.pools.register(handlers)
         answer_store(handlers, self.cut, self._clock)
         self._net.serve(self.address, handlers)
-        parts = (self.way, self.directory, self.allocator, self.pools, self._neighbours)
+        parts = (self.store, self.directory, self.allocator, self.pools, self._neighbours)
         tasks = (*parts, self._follower, self._crashes)
         self._tasks = [asyncio.ensure_future(part.run()) for part in tasks]
         self._tasks.append(asyncio.ensure_future(self._tend()))
@@ -155,5 +155,5 @@
     async def _tend(self) -> None:
         while True:
             await anyio.sleep(0.5)
-            self.way.relays = self.directory.relays
-            self.way.hubs = self.directory.hubs
+            self.store.relays = self.directory.relays
+            self.store.hubs = self.directory.hubs
--- a/features/subjects/leaving_servers.py
+++ b/features/subjects/leaving_servers.py
@@ -155,7 +155,9 @@
         found: set[str] = set()
         until_unix_s = self._clock.now_s() + seconds
         while self._clock.now_s() < until_unix_s:
-            found |= {one.address for one in self.routers if one.contact.away or one.way.away}
+            found |= {
+                one.address for one in self.routers if one.contact.away or one.store.unavailable
+            }
             await anyio.sleep(LOOK_S)
         return found
 
--- a/features/subjects/store_relay.py
+++ b/features/subjects/store_relay.py
@@ -14,6 +14,7 @@
 from endivesaddle.fleet.routes.allocator import Allocator
 from endivesaddle.fleet.routes.board import Board
 from endivesaddle.fleet.routes.declared import RouteAccount, RouteServer
+from endivesaddle.fleet.routes.failover_store import SHARED, StoreCall
 from endivesaddle.fleet.routes.grant_group import AllocatorContext
 from endivesaddle.fleet.routes.instance_directory import (
     PREFIX,
@@ -25,7 +26,6 @@
 )
 from endivesaddle.fleet.routes.remote_store import RemoteStore, answer_store
 from endivesaddle.fleet.routes.reservation import Reservation
-from endivesaddle.fleet.routes.ways import SHARED, MadeCall
 from endivesaddle.fleet.routing.backends import Backend, ForwardWant
 from endivesaddle.fleet.routing.dispatcher import Place
 from endivesaddle.fleet.sentinels import Refusal
@@ -127,7 +127,7 @@
     def count_in_vain(self) -> None:
         """Count from now on which router follows the store through a sidecar in vain."""
         for router in self.routers:
-            router.way.observer = partial(self._count_in_vain, router.address)
+            router.store.observer = partial(self._count_in_vain, router.address)
 
     def stop(self, router: int) -> None:
         """Stop a router gracefully, and start another life of it."""
@@ -179,8 +179,8 @@
         """Make one call directly or through the first sidecar; return what it gave."""
         return self._loop.run(self._call, way, name, arguments)
 
-    def _count_in_vain(self, router: str, made: MadeCall) -> None:
-        self.in_vain[router] += made.way == SHARED and made.outcome == 'unreachable'
+    def _count_in_vain(self, router: str, made: StoreCall) -> None:
+        self.in_vain[router] += made.path == SHARED and made.outcome == 'unreachable'
 
     async def _begin(self, router: int, want: ForwardWant) -> None:
         Place(self.routers[router].dispatcher, self.backends()[router], want).begin()
@@ -275,7 +275,7 @@
     async def _read(self) -> None:
         for router in self.routers:
             try:
-                self.reads.append(await router.way.read('a/key', self._clock.now_s() + 0.05))
+                self.reads.append(await router.store.read('a/key', self._clock.now_s() + 0.05))
             except FleetError as error:
                 self.reads.append(error)
 
@@ -285,7 +285,7 @@
             peers = self.net.peers(self.routers[0].address)
             store = RemoteStore(_sidecar(0), peers, self._clock)
         if way == 'router':
-            store = self.routers[0].way
+            store = self.routers[0].store
         try:
             return await getattr(store, name)(*arguments, self._clock.now_s() + 1)
         except FleetError as error:
--- a/packages/callers/src/endivesaddle/callers/forward_metrics.py
+++ b/packages/callers/src/endivesaddle/callers/forward_metrics.py
@@ -7,8 +7,9 @@
 import msgspec
 from aioprometheus import Counter, Gauge, Histogram, Registry, render
 
+from endivesaddle.callers.exchange import Receive, Send, live
 from endivesaddle.callers.exchange import Receive, Send, serve_lifespan
-from endivesaddle.fleet.routes.ways import MadeCall
+from endivesaddle.fleet.routes.failover_store import StoreCall
 
 BUCKETS_S = (0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4, 12.8)
 """Latencies from a tenth to some thirty times the goals of today's routes."""
@@ -65,10 +66,10 @@
         self._answers.inc({'kind': kind, 'status': str(status), 'code': code})
         self._first.observe({'kind': kind, 'status': str(status)}, took_s)
 
-    def store_called(self, made: MadeCall) -> None:
+    def store_called(self, call: StoreCall) -> None:
         """Count one call to the store."""
-        labels = {'call': made.name, 'way': made.way, 'outcome': made.outcome}
-        self._store.observe(labels, made.took_s)
+        labels = {'call': call.name, 'way': call.path, 'outcome': call.outcome}
+        self._store.observe(labels, call.duration_s)
 
     def _rendered(self) -> tuple[bytes, dict[str, str]]:
         for name, number in self._state()['counters'].items():
--- a/packages/daemon/src/endivesaddle/daemon/forward_parts.py
+++ b/packages/daemon/src/endivesaddle/daemon/forward_parts.py
@@ -7,13 +7,13 @@
 from endivesaddle.fleet.routes.allocator import Allocator
 from endivesaddle.fleet.routes.allocator_choice import AllocatorChoice
 from endivesaddle.fleet.routes.call_times import TimedPeers
+from endivesaddle.fleet.routes.failover_store import FailoverStore
 from endivesaddle.fleet.routes.following import Decoder
 from endivesaddle.fleet.routes.grant_group import AllocatorContext
 from endivesaddle.fleet.routes.header_names import HeaderNames
 from endivesaddle.fleet.routes.instance_directory import ROUTER, Instance, InstanceDirectory
 from endivesaddle.fleet.routes.known import Contact, Known
 from endivesaddle.fleet.routes.prepaid_pools import PrepaidPools, PrepaidPoolsParts
-from endivesaddle.fleet.routes.ways import ReachedStore
 from endivesaddle.fleet.routing.dispatcher import Dispatcher
 
 
@@ -28,7 +28,7 @@
 class Decisions(NamedTuple):
     """What a router believes and decides with."""
 
-    store: ReachedStore
+    store: FailoverStore
     known: Known
     contact: Contact
     dispatcher: Dispatcher
@@ -42,7 +42,7 @@
 ) -> Decisions:
     """Build the deciding parts of a router."""
     place = settings.place
-    store = ReachedStore(ports.store, peers, clock)
+    store = FailoverStore(ports.store, peers, clock)
     known = Known()
     contact = Contact(clock)
     dispatcher = Dispatcher(settings.forward, known, clock, place.lifetime)
--- a/packages/daemon/src/endivesaddle/daemon/forwarder.py
+++ b/packages/daemon/src/endivesaddle/daemon/forwarder.py
@@ -23,7 +23,7 @@
 from endivesaddle.fleet.routes.call_times import TimedPeers
 from endivesaddle.fleet.routes.desks import SidecarDesks
 from endivesaddle.fleet.routes.following import Follower
-from endivesaddle.fleet.routes.lateness import Lateness
+from endivesaddle.fleet.routes.loop_lag import LoopLag
 from endivesaddle.fleet.routes.neighbours import NeighbourParts, Neighbours
 from endivesaddle.fleet.routes.remote_store import answer_store
 from endivesaddle.fleet.routes.running import Runner
@@ -69,7 +69,7 @@
         self._settings = settings
         self._ports = ports
         self._clock = clock
-        self._lateness = Lateness(clock)
+        self._loop_lag = LoopLag(clock)
         self._stopping = Stopping(self.neighbours.others_stay)
         parts = self.parts
         self._follower = Follower(parts.store, ports.decoder, parts.known, clock, parts.contact)
@@ -129,9 +129,9 @@
                 'declared_version': known.book.version if known.book else 0,
                 'servers_known': len(known.servers),
                 'store_age_seconds': parts.contact.age_s,
-                'store_away_here': int(parts.store.away),
+                'store_away_here': int(parts.store.unavailable),
                 'servers_heard_age_seconds': parts.dispatcher.servers_heard_s(),
-                'late_seconds': self._lateness.worst_s(),
+                'late_seconds': self._loop_lag.worst_s(),
                 'sidecars_known': len(parts.directory.sidecars),
                 'evacuated_data_centres': len(known.evacuations.names),
                 'cold_withheld': parts.dispatcher.bounds.cold.withheld_count,
@@ -154,7 +154,7 @@
             self.parts.pools.run,
             self._desks.run,
             self._crashes.run,
-            self._lateness.run,
+            self._loop_lag.run,
             self._tend,
         ]
 
--- a/packages/fleet/src/endivesaddle/fleet/routes/avoided.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/address_backoff.py
@@ -8,7 +8,7 @@
 from endivesaddle.fleet.clock import Clock
 
 
-class Avoided:
+class AddressBackoff:
     """Addresses ("ip:port") that failed, and until when."""
 
     def __init__(self, clock: Clock, first_s: float, most_s: float = 0.0) -> None:
@@ -19,14 +19,14 @@
         self._until_unix_s: dict[str, float] = {}
         self._failures: dict[str, int] = {}
 
-    def failed(self, address: str, for_s: float = 0.0) -> None:
+    def record_failure(self, address: str, for_s: float = 0.0) -> None:
         """Pass an address over; ``for_s`` where it said itself for how long."""
         failures = self._failures.get(address, 0)
         pause_s = for_s or min(self._most_s, self._first_s * 2**failures)
         self._failures[address] = failures + 1
         self._until_unix_s[address] = self._clock.now_s() + pause_s
 
-    def answered(self, address: str) -> None:
+    def record_success(self, address: str) -> None:
         """Note that an address works."""
         self._failures.pop(address, None)
 
--- a/packages/fleet/src/endivesaddle/fleet/routes/allocator_choice.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/allocator_choice.py
@@ -10,7 +10,7 @@
 import xxhash
 
 from endivesaddle.fleet.clock import Clock
-from endivesaddle.fleet.routes.avoided import Avoided
+from endivesaddle.fleet.routes.address_backoff import AddressBackoff
 
 AVOID_S = 2.0
 """A keeper that did not answer is passed over for so long; one that stops, for longer."""
@@ -40,7 +40,7 @@
         """Choose among ``instances``, the own one last."""
         self._instances = instances
         self._own_address = own_address
-        self._avoided = Avoided(clock, AVOID_S)
+        self._avoided = AddressBackoff(clock, AVOID_S)
         self._ranked_of: tuple[tuple[str, ...], tuple[str, ...]] = ((), ())
         self._ranked: dict[int, list[str]] = {}
 
@@ -69,7 +69,7 @@
 
     def avoid(self, address: str, for_s: float = AVOID_S) -> None:
         """Pass an instance over for a while."""
-        self._avoided.failed(address, for_s)
+        self._avoided.record_failure(address, for_s)
 
     def usable(self, address: str) -> bool:
         """Tell whether an instance is not passed over."""
--- a/packages/fleet/src/endivesaddle/fleet/routes/desks.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/desks.py
@@ -9,7 +9,7 @@
 from endivesaddle.fleet.errors import FleetError
 from endivesaddle.fleet.ports import Handlers, Peers
 from endivesaddle.fleet.routes import sidecar_events
-from endivesaddle.fleet.routes.avoided import Avoided
+from endivesaddle.fleet.routes.address_backoff import AddressBackoff
 from endivesaddle.fleet.routes.instance_directory import InstanceDirectory
 from endivesaddle.fleet.routing.backends import Backend, Backends
 from endivesaddle.fleet.routing.engine_desk import EngineDesk, Load, Word
@@ -40,7 +40,7 @@
         self._clock = clock
         self._lifetime = lifetime
         self._numbers = count(1)
-        self._avoided = Avoided(clock, AVOID_S, LONGEST_AVOID_S)
+        self._avoided = AddressBackoff(clock, AVOID_S, LONGEST_AVOID_S)
         self._by_host: dict[str, str] = {}
         self._by_host_of: Collection[str] = ()
         self._changed: dict[str, Backend] = {}
@@ -104,7 +104,7 @@
             reply = await self._peers.call(address, rpcs.ENTER, word, self._clock.now_s() + ASK_S)
         except (FleetError, TimeoutError) as error:
             sidecar_events.DESK_SILENT.log(sidecar=address, reason=str(error))
-            self._avoided.failed(address)
+            self._avoided.record_failure(address)
             return None
         self._avoided.answered(address)
         backend.apply_sidecar_report(reply.in_flight, reply.reading_tokens, self._clock.now_s())
--- a/packages/fleet/src/endivesaddle/fleet/routes/ways.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/failover_store.py
@@ -14,7 +14,7 @@
 from endivesaddle.fleet.errors import StoreUnreachable, StoreUnsure
 from endivesaddle.fleet.ports import Peers, Stored
 from endivesaddle.fleet.routes import store_events as events
-from endivesaddle.fleet.routes.avoided import Avoided
+from endivesaddle.fleet.routes.address_backoff import AddressBackoff
 from endivesaddle.fleet.routes.following import Changes
 from endivesaddle.fleet.routes.remote_store import ForwardStore, RemoteStore
 from endivesaddle.fleet.sentinels import Absent, Conflict
@@ -43,16 +43,16 @@
 Call = Callable[[ForwardStore], Awaitable[Outcome]]
 
 
-class MadeCall(NamedTuple):
+class StoreCall(NamedTuple):
     """One call that was made; ``outcome`` is done, unreachable, unsure or cancelled."""
 
     name: str
-    way: str
+    path: str
     outcome: str
-    took_s: float
+    duration_s: float
 
 
-class ReachedStore:
+class FailoverStore:
     """The store by the ways that this router has; it is used like the store itself."""
 
     def __init__(self, direct: ForwardStore, peers: Peers, clock: Clock) -> None:
@@ -64,42 +64,42 @@
         self.relays: Sequence[str] = ()
         self.hubs: Sequence[str] = ()
         self.direct = direct
-        self.away = False
-        self.observer: Callable[[MadeCall], None] = _unobserved
+        self.unavailable = False
+        self.observer: Callable[[StoreCall], None] = _unobserved
         self._peers = peers
         self._clock = clock
         self._relay = ''
-        self._avoided = Avoided(clock, RELAY_AGAIN_S, LONGEST_RELAY_AGAIN_S)
+        self._avoided = AddressBackoff(clock, RELAY_AGAIN_S, LONGEST_RELAY_AGAIN_S)
 
     async def run(self) -> None:
         """While the store does not answer here, look whether it does again, until cancelled."""
         while True:
             await anyio.sleep(PROBE_S)
-            if self.away:
+            if self.unavailable:
                 await self._probe()
 
     async def read(self, key: str, deadline_unix_s: float) -> Stored | Absent:
         """Return the value of one key."""
         return await self._reach(
-            'read', lambda way: way.read(key, deadline_unix_s), deadline_unix_s
+            'read', lambda store: store.read(key, deadline_unix_s), deadline_unix_s
         )
 
     async def list(self, prefix: str, deadline_unix_s: float) -> Sequence[Stored]:
         """Return the values of all keys that start with ``prefix``, sorted."""
         return await self._reach(
-            'list', lambda way: way.list(prefix, deadline_unix_s), deadline_unix_s
+            'list', lambda store: store.list(prefix, deadline_unix_s), deadline_unix_s
         )
 
     async def glance(self, prefix: str, deadline_unix_s: float) -> Sequence[Stored]:
         """List as ``list`` does, cheaply: what is told may be seconds old."""
         return await self._reach(
-            'glance', lambda way: way.glance(prefix, deadline_unix_s), deadline_unix_s
+            'glance', lambda store: store.glance(prefix, deadline_unix_s), deadline_unix_s
         )
 
     async def scan(self, prefix: str, deadline_unix_s: float) -> Changes:
         """Return all that lies under a prefix, and the version from which to follow."""
         return await self._reach(
-            'scan', lambda way: way.scan(prefix, deadline_unix_s), deadline_unix_s
+            'scan', lambda store: store.scan(prefix, deadline_unix_s), deadline_unix_s
         )
 
     async def poll(
@@ -115,7 +115,7 @@
         left_s = max(0, deadline_unix_s - self._clock.now_s() - answer_s)
         return await self._reach(
             'poll',
-            lambda way: way.poll(prefix, after_version, left_s, deadline_unix_s),
+            lambda store: store.poll(prefix, after_version, left_s, deadline_unix_s),
             deadline_unix_s,
         )
 
@@ -130,26 +130,26 @@
         """Write if the key still has ``expected_version`` (0: must not exist)."""
         return await self._reach(
             'swap',
-            lambda way: way.swap(key, value, expected_version, deadline_unix_s, lease_id),
+            lambda store: store.swap(key, value, expected_version, deadline_unix_s, lease_id),
             deadline_unix_s,
         )
 
     async def grant(self, ttl_s: int, deadline_unix_s: float) -> int:
         """Return the id of a new lease."""
         return await self._reach(
-            'grant', lambda way: way.grant(ttl_s, deadline_unix_s), deadline_unix_s
+            'grant', lambda store: store.grant(ttl_s, deadline_unix_s), deadline_unix_s
         )
 
     async def keep_alive(self, lease_id: int, deadline_unix_s: float) -> bool:
         """Extend a lease; False when it has lapsed."""
         return await self._reach(
-            'keep_alive', lambda way: way.keep_alive(lease_id, deadline_unix_s), deadline_unix_s
+            'keep_alive', lambda store: store.keep_alive(lease_id, deadline_unix_s), deadline_unix_s
         )
 
     async def end_lease(self, lease_id: int, deadline_unix_s: float) -> None:
         """End a lease with all that was written under it."""
         await self._reach(
-            'end_lease', lambda way: way.end_lease(lease_id, deadline_unix_s), deadline_unix_s
+            'end_lease', lambda store: store.end_lease(lease_id, deadline_unix_s), deadline_unix_s
         )
 
     async def _shared_poll(self, prefix: str, after_version: int) -> Changes | Absent | None:
@@ -163,19 +163,19 @@
             changes = await self._made(
                 'poll',
                 SHARED,
-                lambda way: way.poll(prefix, after_version, HUB_POLL_S, deadline_unix_s),
+                lambda store: store.poll(prefix, after_version, HUB_POLL_S, deadline_unix_s),
                 store,
             )
         except StoreUnreachable as error:
             events.HUB_LOST.log(hub=hub, reason=str(error))
-            self._avoided.failed(hub)
+            self._avoided.record_failure(hub)
             return None
-        self._avoided.answered(hub)
+        self._avoided.record_success(hub)
         return changes
 
     async def _reach(self, name: str, call: Call[Outcome], deadline_unix_s: float) -> Outcome:
         """Make a call by the first way that answers; a write that may be done is not repeated."""
-        if not self.away or not self.relays:
+        if not self.unavailable or not self.relays:
             try:
                 return await self._made(name, DIRECT, call, self.direct)
             except (StoreUnreachable, StoreUnsure) as error:
@@ -184,7 +184,9 @@
                     raise
         return await self._relayed(name, call, deadline_unix_s)
 
-    async def _made(self, name: str, way: str, call: Call[Outcome], store: ForwardStore) -> Outcome:
+    async def _made(
+        self, name: str, path: str, call: Call[Outcome], store: ForwardStore
+    ) -> Outcome:
         """Make a call one way, and tell the observer how it went."""
         began_unix_s = self._clock.now_s()
         outcome = 'cancelled'
@@ -200,8 +202,8 @@
             outcome = 'done'
             return answer
         finally:
-            took_s = self._clock.now_s() - began_unix_s
-            self.observer(MadeCall(name, way, outcome, took_s))
+            duration_s = self._clock.now_s() - began_unix_s
+            self.observer(StoreCall(name, path, outcome, duration_s))
 
     async def _relayed(self, name: str, call: Call[Outcome], deadline_unix_s: float) -> Outcome:
         reason = 'no other instance reaches the store'
@@ -230,21 +232,21 @@
         return usable[:RELAYS_TRIED]
 
     def _relay_failed(self, address: str) -> None:
-        self._avoided.failed(address)
+        self._avoided.record_failure(address)
         if address == self._relay:
             events.RELAY_LOST.log(relay=address)
             self._relay = ''
 
     def _relay_works(self, address: str) -> None:
-        self._avoided.answered(address)
+        self._avoided.record_success(address)
         if address != self._relay:
             events.RELAY.log(relay=address, relays=len(self.relays))
             self._relay = address
 
     def _lost(self, reason: str) -> None:
-        if not self.away:
+        if not self.unavailable:
             events.DIRECT_LOST.log(reason=reason, relays=len(self.relays))
-            self.away = True
+            self.unavailable = True
 
     def _late(self, deadline_unix_s: float) -> bool:
         return self._clock.now_s() >= deadline_unix_s
@@ -255,10 +257,10 @@
         except StoreUnreachable:
             # Each failure says no more than the one before; the first was logged.
             return
-        self.away = False
+        self.unavailable = False
         self._relay = ''
         events.DIRECT_BACK.log(relays=len(self.relays))
 
 
-def _unobserved(made: MadeCall) -> None:
+def _unobserved(made: StoreCall) -> None:
     """Keep no figures."""
--- a/packages/fleet/src/endivesaddle/fleet/routes/lateness.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/loop_lag.py
@@ -27,7 +27,7 @@
     late_s: float
 
 
-class Lateness:
+class LoopLag:
     """Looks ten times a second how late it gets its turn."""
 
     def __init__(self, clock: Clock) -> None:
--- a/packages/fleet/src/endivesaddle/fleet/routes/neighbours.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/neighbours.py
@@ -15,7 +15,7 @@
 from endivesaddle.fleet.errors import FleetError
 from endivesaddle.fleet.ports import Handlers, Peers
 from endivesaddle.fleet.routes import sidecar_events
-from endivesaddle.fleet.routes.avoided import Avoided
+from endivesaddle.fleet.routes.address_backoff import AddressBackoff
 from endivesaddle.fleet.routes.declarations import DeclarationsFetch
 from endivesaddle.fleet.routes.facts import Facts
 from endivesaddle.fleet.routes.following import Decoder
@@ -76,7 +76,7 @@
         self._lifetime = lifetime
         self._address = address
         self.leaving = False
-        self._no_board = Avoided(clock, NO_BOARD_S, LONGEST_NO_BOARD_S)
+        self._no_board = AddressBackoff(clock, NO_BOARD_S, LONGEST_NO_BOARD_S)
         self._seen = 0
         self._parts_told = parts.dispatcher.sent_parts.count
         self._seen_board = ''
@@ -175,9 +175,9 @@
             reply = await self._peers.call(address, rpcs.BOARD, request, deadline_unix_s)
         except (FleetError, TimeoutError) as error:
             sidecar_events.BOARD_LOST.log(sidecar=address, reason=str(error))
-            self._no_board.failed(address)
+            self._no_board.record_failure(address)
             return False
-        self._no_board.answered(address)
+        self._no_board.record_success(address)
         self._parts_told = max(self._parts_told, told)
         self._board.took(reply.lifetime, request.word.news.mark)
         self._news.hear(reply.news, address)
