--- a/packages/fleet/src/endivesaddle/fleet/routes/desks.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/desks.py
@@ -31,7 +31,12 @@
     """One router's words to the sidecars beside engines; one task tells what changed."""
 
     def __init__(
-        self, backends: Backends, directory: InstanceDirectory, peers: Peers, clock: Clock, lifetime: str
+        self,
+        backends: Backends,
+        directory: InstanceDirectory,
+        peers: Peers,
+        clock: Clock,
+        lifetime: str,
     ) -> None:
         """Speak as ``lifetime``; a sidecar stands beside the servers of its host."""
         self._backends = backends
