--- a/packages/callers/src/endivesaddle/callers/forward_metrics.py
+++ b/packages/callers/src/endivesaddle/callers/forward_metrics.py
@@ -7,7 +7,6 @@
 import msgspec
 from aioprometheus import Counter, Gauge, Histogram, Registry, render
 
-from endivesaddle.callers.exchange import Receive, Send, live
 from endivesaddle.callers.exchange import Receive, Send, serve_lifespan
 from endivesaddle.fleet.routes.failover_store import StoreCall
 
--- a/packages/fleet/src/endivesaddle/fleet/routes/desks.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/desks.py
@@ -111,7 +111,7 @@
             sidecar_events.DESK_SILENT.log(sidecar=address, reason=str(error))
             self._avoided.record_failure(address)
             return None
-        self._avoided.answered(address)
+        self._avoided.record_success(address)
         backend.apply_sidecar_report(reply.in_flight, reply.reading_tokens, self._clock.now_s())
         return reply
 
