--- a/features/steps/budgets_faults_steps.py
+++ b/features/steps/budgets_faults_steps.py
@@ -7,7 +7,7 @@
 from behave import then, when
 
 from endivesaddle.fleet.budgets import record_format, records
-from endivesaddle.fleet.seams import Reserved
+from endivesaddle.fleet.interfaces import Reserved
 from endivesaddle.stand_ins.budget_sidecars import Work
 from endivesaddle.stand_ins.memory_peers import Fault
 from endivesaddle.wire import runs_pb2
--- a/features/steps/budgets_steps.py
+++ b/features/steps/budgets_steps.py
@@ -7,7 +7,7 @@
 
 from endivesaddle.fleet.budgets import records, write_offs
 from endivesaddle.fleet.budgets.moves import Side
-from endivesaddle.fleet.seams import Reserved
+from endivesaddle.fleet.interfaces import Reserved
 from subjects.budget_orders import ACCOUNT
 from subjects.budgets import Budgets
 from subjects.saying import say
--- a/features/steps/routing_steps.py
+++ b/features/steps/routing_steps.py
@@ -5,7 +5,7 @@
 import anyio
 from behave import given, then, when
 
-from endivesaddle.fleet.seams import Choice
+from endivesaddle.fleet.interfaces import Choice
 from endivesaddle.fleet.sentinels import NOT_RUN, Refusal
 from subjects.routing import PREFIX, RoutingSubject
 
--- a/features/subjects/callers.py
+++ b/features/subjects/callers.py
@@ -19,7 +19,7 @@
     Service,
 )
 from endivesaddle.fleet.errors import UserError
-from endivesaddle.fleet.seams import Answer, AnswerBroken, CallerRequest
+from endivesaddle.fleet.interfaces import Answer, AnswerBroken, CallerRequest
 from endivesaddle.fleet.sentinels import RUN_UNKNOWN, Refusal
 from endivesaddle.stand_ins import virtual
 
--- a/features/subjects/callers_sockets.py
+++ b/features/subjects/callers_sockets.py
@@ -10,7 +10,7 @@
 from endivesaddle.callers.server import serve
 from endivesaddle.callers.settings import CallersSettings
 from endivesaddle.fleet.clock import WallClock
-from endivesaddle.fleet.seams import Answer, CallerRequest
+from endivesaddle.fleet.interfaces import Answer, CallerRequest
 from subjects.callers import KEY, SSE, Parts
 
 CHAT = b'{"model": "boards", "messages": [{"role": "user", "content": "hi"}], "stream": true}'
--- a/features/subjects/crashing_fleet.py
+++ b/features/subjects/crashing_fleet.py
@@ -10,11 +10,11 @@
 import msgspec
 
 from endivesaddle.fleet.clock import LoopClock
+from endivesaddle.fleet.interfaces import ServerLost, ServerRefused
 from endivesaddle.fleet.routes.declared import Repeat, Route, RouteAccount, RouteServer, Target
 from endivesaddle.fleet.routes.forwarded import ForwardRequest, ServerCall
 from endivesaddle.fleet.routes.instance_directory import PREFIX as ENTRIES
 from endivesaddle.fleet.routes.running import Runner
-from endivesaddle.fleet.seams import ServerLost, ServerRefused
 from endivesaddle.stand_ins.memory_store import MemoryStore
 from subjects.cut_router import CutRouter
 from subjects.forward_runs import RecordingSink, ScriptedAnswer
--- a/features/subjects/engines.py
+++ b/features/subjects/engines.py
@@ -12,7 +12,7 @@
 from endivesaddle.backend_servers.settings import BackendSettings
 from endivesaddle.fleet.clock import LoopClock
 from endivesaddle.fleet.configuration import BackendServer
-from endivesaddle.fleet.seams import EngineEvent, NeverSent, ServerLost
+from endivesaddle.fleet.interfaces import EngineEvent, NeverSent, ServerLost
 from endivesaddle.stand_ins import virtual
 from endivesaddle.stand_ins.engine import EngineApp
 from endivesaddle.stand_ins.engine_state import EngineState, EngineSwitches
--- a/features/subjects/evacuated_fleet.py
+++ b/features/subjects/evacuated_fleet.py
@@ -10,9 +10,9 @@
 from endivesaddle.backend_servers.kept_links import KeptLinks
 from endivesaddle.backend_servers.server_connection import ServerConnection
 from endivesaddle.fleet.clock import LoopClock
+from endivesaddle.fleet.interfaces import ServerRefused
 from endivesaddle.fleet.routes.header_names import HeaderNames
 from endivesaddle.fleet.routes.running import Runner
-from endivesaddle.fleet.seams import ServerRefused
 from subjects.cut_router import CutRouter
 from subjects.forward_runs import RecordingSink
 from subjects.leaving_servers import SERVERS, SERVICE
--- a/features/subjects/forward_runs.py
+++ b/features/subjects/forward_runs.py
@@ -10,6 +10,7 @@
 import anyio
 
 from endivesaddle.fleet.clock import LoopClock
+from endivesaddle.fleet.interfaces import NeverSent, ServerLost
 from endivesaddle.fleet.routes.allocator import Allocator
 from endivesaddle.fleet.routes.allocator_choice import AllocatorChoice
 from endivesaddle.fleet.routes.call_times import TimedPeers
@@ -31,7 +32,6 @@
 from endivesaddle.fleet.routing.choosing import NoDesks
 from endivesaddle.fleet.routing.dispatcher import Dispatcher
 from endivesaddle.fleet.routing.forward_settings import ForwardSettings
-from endivesaddle.fleet.seams import NeverSent, ServerLost
 from endivesaddle.fleet.sentinels import Refusal
 from endivesaddle.stand_ins.memory_peers import MemoryNet
 from endivesaddle.stand_ins.memory_store import MemoryStore
--- a/features/subjects/httpx_links.py
+++ b/features/subjects/httpx_links.py
@@ -7,7 +7,7 @@
 import httpx
 
 from endivesaddle.backend_servers.kept_links import Forwarded
-from endivesaddle.fleet.seams import NeverSent, ServerLost
+from endivesaddle.fleet.interfaces import NeverSent, ServerLost
 
 
 class HttpxResponse:
--- a/features/subjects/requests_fakes.py
+++ b/features/subjects/requests_fakes.py
@@ -8,7 +8,7 @@
 
 from endivesaddle.fleet.configuration import Configuration, shard_of
 from endivesaddle.fleet.identity import Identity
-from endivesaddle.fleet.seams import (
+from endivesaddle.fleet.interfaces import (
     Choice,
     EngineEvent,
     NeverSent,
--- a/features/subjects/requests_fleet.py
+++ b/features/subjects/requests_fleet.py
@@ -11,10 +11,10 @@
 
 from endivesaddle.fleet.clock import LoopClock
 from endivesaddle.fleet.identity import Identity
+from endivesaddle.fleet.interfaces import AnswerBroken, CallerRequest
 from endivesaddle.fleet.ports import Handlers
 from endivesaddle.fleet.requests import Claims, Recorder, RequestFront, RequestSettings
 from endivesaddle.fleet.runs import Runs, RunSettings
-from endivesaddle.fleet.seams import AnswerBroken, CallerRequest
 from endivesaddle.fleet.sentinels import Refusal
 from endivesaddle.stand_ins.memory_peers import MemoryNet
 from endivesaddle.stand_ins.memory_store import MemoryStore
--- a/features/subjects/requests_plays_holders.py
+++ b/features/subjects/requests_plays_holders.py
@@ -2,8 +2,8 @@
 
 import anyio
 
+from endivesaddle.fleet.interfaces import Answer
 from endivesaddle.fleet.requests.batches import decode
-from endivesaddle.fleet.seams import Answer
 from endivesaddle.stand_ins.memory_peers import Fault
 from endivesaddle.wire import holders_pb2, rpcs, runs_pb2
 from subjects.requests_fleet import Fleet
--- a/features/subjects/routing.py
+++ b/features/subjects/routing.py
@@ -11,8 +11,8 @@
 from endivesaddle.fleet.clock import LoopClock
 from endivesaddle.fleet.configuration import Account, BackendServer, Configuration
 from endivesaddle.fleet.identity import Identity
+from endivesaddle.fleet.interfaces import Choice, RoutingRequest
 from endivesaddle.fleet.routing import Admission, RoutingSettings
-from endivesaddle.fleet.seams import Choice, RoutingRequest
 from endivesaddle.fleet.sentinels import Refusal
 from endivesaddle.wire import members_pb2, runs_pb2
 
--- a/features/subjects/server_connections.py
+++ b/features/subjects/server_connections.py
@@ -11,10 +11,10 @@
 from endivesaddle.backend_servers.forward_calls import ForwardLinks
 from endivesaddle.backend_servers.kept_links import KeptLinks
 from endivesaddle.fleet.clock import SteadyClock
+from endivesaddle.fleet.interfaces import NeverSent, ServerLost, ServerRefused
 from endivesaddle.fleet.routes.declared import Repeat, Route, RouteAccount, RouteServer, Target
 from endivesaddle.fleet.routes.forwarded import ForwardRequest, ServerCall
 from endivesaddle.fleet.routes.header_names import HeaderNames
-from endivesaddle.fleet.seams import NeverSent, ServerLost, ServerRefused
 
 GUARD_S = 20
 TARGET = '/b/%C3%A4;x=1//y?q=%2F&r'
--- a/packages/backend_servers/src/endivesaddle/backend_servers/clients.py
+++ b/packages/backend_servers/src/endivesaddle/backend_servers/clients.py
@@ -7,8 +7,8 @@
 from endivesaddle.backend_servers.settings import BackendSettings
 from endivesaddle.fleet.clock import Clock
 from endivesaddle.fleet.configuration import BackendServer
+from endivesaddle.fleet.interfaces import BackendServerClient
 from endivesaddle.fleet.registry import Registry
-from endivesaddle.fleet.seams import BackendServerClient
 
 Maker = Callable[
     [BackendSettings, BackendServer, Clock, httpx.AsyncBaseTransport | None], BackendServerClient
--- a/packages/backend_servers/src/endivesaddle/backend_servers/engine.py
+++ b/packages/backend_servers/src/endivesaddle/backend_servers/engine.py
@@ -14,7 +14,7 @@
 from endivesaddle.backend_servers.usage import Meter, parse_piece
 from endivesaddle.fleet.clock import Clock
 from endivesaddle.fleet.configuration import BackendServer
-from endivesaddle.fleet.seams import EngineEvent, NeverSent, ServerLost
+from endivesaddle.fleet.interfaces import EngineEvent, NeverSent, ServerLost
 from endivesaddle.wire import runs_pb2
 
 OK = 200
--- a/packages/backend_servers/src/endivesaddle/backend_servers/engine_control.py
+++ b/packages/backend_servers/src/endivesaddle/backend_servers/engine_control.py
@@ -6,7 +6,7 @@
 from endivesaddle.backend_servers.link import Link
 from endivesaddle.backend_servers.settings import BackendSettings
 from endivesaddle.fleet.clock import Clock
-from endivesaddle.fleet.seams import NeverSent, ServerLost
+from endivesaddle.fleet.interfaces import NeverSent, ServerLost
 from endivesaddle.wire import runs_pb2
 
 CONFLICT = 409
--- a/packages/backend_servers/src/endivesaddle/backend_servers/forward_calls.py
+++ b/packages/backend_servers/src/endivesaddle/backend_servers/forward_calls.py
@@ -8,10 +8,10 @@
 from endivesaddle.backend_servers.sse import EventSplitter, EventTooLong
 from endivesaddle.backend_servers.unread_headers import UnreadHeaders
 from endivesaddle.fleet.clock import Clock
+from endivesaddle.fleet.interfaces import ServerLost
 from endivesaddle.fleet.routes.declared import RouteServer
 from endivesaddle.fleet.routes.forwarded import Pairs, ServerCall
 from endivesaddle.fleet.routes.header_names import HOP_BY_HOP, LENGTH, HeaderNames
-from endivesaddle.fleet.seams import ServerLost
 
 EVENT_BYTES = 1 << 20
 """The longest event of a stream that is passed on."""
--- a/packages/backend_servers/src/endivesaddle/backend_servers/kept_links.py
+++ b/packages/backend_servers/src/endivesaddle/backend_servers/kept_links.py
@@ -14,7 +14,7 @@
     ServerResponse,
     connect,
 )
-from endivesaddle.fleet.seams import NeverSent, ServerLeft
+from endivesaddle.fleet.interfaces import NeverSent, ServerLeft
 
 RawHeaders = Sequence[tuple[bytes, bytes]]
 Connect = Callable[[str], Awaitable[ServerConnection]]
--- a/packages/backend_servers/src/endivesaddle/backend_servers/link.py
+++ b/packages/backend_servers/src/endivesaddle/backend_servers/link.py
@@ -13,7 +13,7 @@
 
 from endivesaddle.backend_servers.settings import BackendSettings
 from endivesaddle.fleet.clock import Clock, left_s
-from endivesaddle.fleet.seams import NeverSent, ServerLost
+from endivesaddle.fleet.interfaces import NeverSent, ServerLost
 
 Pairs = Sequence[tuple[str, str]]
 """Headers: name and value, a name as often as it comes."""
--- a/packages/backend_servers/src/endivesaddle/backend_servers/server_connection.py
+++ b/packages/backend_servers/src/endivesaddle/backend_servers/server_connection.py
@@ -13,7 +13,7 @@
 import anyio
 
 from endivesaddle.backend_servers.answer_parser import AnswerParser
-from endivesaddle.fleet.seams import NeverSent, ServerLost, ServerRefused
+from endivesaddle.fleet.interfaces import NeverSent, ServerLost, ServerRefused
 
 CONNECT_S = 1.0
 """A connection that takes longer counts as refused: neighbours answer in milliseconds."""
--- a/packages/backend_servers/src/endivesaddle/backend_servers/service.py
+++ b/packages/backend_servers/src/endivesaddle/backend_servers/service.py
@@ -9,7 +9,7 @@
 from endivesaddle.backend_servers.settings import BackendSettings
 from endivesaddle.fleet.clock import Clock
 from endivesaddle.fleet.configuration import BackendServer
-from endivesaddle.fleet.seams import EngineEvent
+from endivesaddle.fleet.interfaces import EngineEvent
 from endivesaddle.wire import runs_pb2
 
 NOT_OURS = frozenset(('authorization', 'idempotency-key', 'x-request-id'))
--- a/packages/callers/src/endivesaddle/callers/app.py
+++ b/packages/callers/src/endivesaddle/callers/app.py
@@ -17,8 +17,8 @@
 from endivesaddle.callers.settings import CallersSettings
 from endivesaddle.fleet.clock import Clock
 from endivesaddle.fleet.errors import UserError
+from endivesaddle.fleet.interfaces import Front
 from endivesaddle.fleet.ports import FleetView
-from endivesaddle.fleet.seams import Front
 from endivesaddle.fleet.sentinels import RUN_UNKNOWN, Refusal
 
 __all__ = ('CallersApp', 'CallersSettings')
--- a/packages/callers/src/endivesaddle/callers/context.py
+++ b/packages/callers/src/endivesaddle/callers/context.py
@@ -8,9 +8,9 @@
 from endivesaddle.callers.metrics import Metrics
 from endivesaddle.callers.ports import OperatorPort, StatePort
 from endivesaddle.callers.settings import CallersSettings
+from endivesaddle.fleet.interfaces import Front
 from endivesaddle.fleet.ports import FleetView
 from endivesaddle.fleet.registry import Registry
-from endivesaddle.fleet.seams import Front
 
 
 class Context(NamedTuple):
--- a/packages/callers/src/endivesaddle/callers/relay.py
+++ b/packages/callers/src/endivesaddle/callers/relay.py
@@ -13,7 +13,7 @@
 from endivesaddle.callers.exchange import Exchange
 from endivesaddle.callers.refusals import error_body
 from endivesaddle.callers.settings import CallersSettings
-from endivesaddle.fleet.seams import Answer, AnswerBroken
+from endivesaddle.fleet.interfaces import Answer, AnswerBroken
 from endivesaddle.fleet.sentinels import RUN_UNKNOWN, Refusal
 
 REQUEST_ID = 'x-request-id'
--- a/packages/callers/src/endivesaddle/callers/requests.py
+++ b/packages/callers/src/endivesaddle/callers/requests.py
@@ -12,8 +12,8 @@
 from endivesaddle.callers.refusals import Invalid
 from endivesaddle.callers.settings import CallersSettings
 from endivesaddle.fleet.configuration import Account, Configuration, Model
+from endivesaddle.fleet.interfaces import CallerRequest
 from endivesaddle.fleet.registry import Registry
-from endivesaddle.fleet.seams import CallerRequest
 
 CHAT = '/v1/chat/completions'
 COMPLETIONS = '/v1/completions'
--- a/packages/callers/src/endivesaddle/callers/serving.py
+++ b/packages/callers/src/endivesaddle/callers/serving.py
@@ -13,7 +13,7 @@
 from endivesaddle.callers.relay import REQUEST_ID, Relay
 from endivesaddle.callers.requests import CHAT, COMPLETIONS, SERVICES, read_request
 from endivesaddle.fleet.configuration import Account
-from endivesaddle.fleet.seams import Answer, CallerRequest
+from endivesaddle.fleet.interfaces import Answer, CallerRequest
 from endivesaddle.fleet.sentinels import Refusal
 
 _LEAVING = Invalid(
--- a/packages/daemon/src/endivesaddle/daemon/sidecar.py
+++ b/packages/daemon/src/endivesaddle/daemon/sidecar.py
@@ -17,10 +17,10 @@
 from endivesaddle.fleet.distribution import Distribution, DistributionSettings
 from endivesaddle.fleet.errors import StoreUnreachable
 from endivesaddle.fleet.identity import Identity
+from endivesaddle.fleet.interfaces import Answer, BackendServerClient, CallerRequest
 from endivesaddle.fleet.membership import Membership, MembershipSettings
 from endivesaddle.fleet.ports import Handlers
 from endivesaddle.fleet.runs import OrderKeeper, Runs, RunSettings
-from endivesaddle.fleet.seams import Answer, BackendServerClient, CallerRequest
 from endivesaddle.fleet.sentinels import NOT_RUN, Refusal
 from endivesaddle.fleet.view import View
 from endivesaddle.instances import InstancesSettings
--- a/packages/fleet/src/endivesaddle/fleet/budgets/holder.py
+++ b/packages/fleet/src/endivesaddle/fleet/budgets/holder.py
@@ -24,8 +24,8 @@
 from endivesaddle.fleet.clock import Clock
 from endivesaddle.fleet.configuration import shard_of
 from endivesaddle.fleet.identity import Identity
+from endivesaddle.fleet.interfaces import ClaimKeeper, Reserved
 from endivesaddle.fleet.ports import FleetView, Handlers, Peers, Store
-from endivesaddle.fleet.seams import ClaimKeeper, Reserved
 from endivesaddle.fleet.sentinels import NotHolder, Refusal
 from endivesaddle.wire import holders_pb2, rpcs
 
--- a/packages/fleet/src/endivesaddle/fleet/budgets/recovery.py
+++ b/packages/fleet/src/endivesaddle/fleet/budgets/recovery.py
@@ -14,8 +14,8 @@
 from endivesaddle.fleet.clock import Clock
 from endivesaddle.fleet.errors import PeerRefused, PeerSilent, PeerUnreachable, StoreUnreachable
 from endivesaddle.fleet.identity import Identity
+from endivesaddle.fleet.interfaces import ClaimKeeper
 from endivesaddle.fleet.ports import FleetView, Peers, Store
-from endivesaddle.fleet.seams import ClaimKeeper
 from endivesaddle.wire import holders_pb2, members_pb2, rpcs
 
 _AT_ONCE = 64
--- a/packages/fleet/src/endivesaddle/fleet/requests/answering.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/answering.py
@@ -3,6 +3,7 @@
 from collections.abc import AsyncGenerator, AsyncIterator
 from typing import NamedTuple
 
+from endivesaddle.fleet.interfaces import Answer, Routing
 from endivesaddle.fleet.requests import refusals, states
 from endivesaddle.fleet.requests.background import BackgroundTasks
 from endivesaddle.fleet.requests.calls import Call, PlacedAttempt
@@ -11,7 +12,6 @@
 from endivesaddle.fleet.requests.finishing import Finisher
 from endivesaddle.fleet.requests.following import Follower
 from endivesaddle.fleet.requests.relaying import Relay
-from endivesaddle.fleet.seams import Answer, Routing
 from endivesaddle.fleet.sentinels import HAS_RUN, Refusal
 from endivesaddle.wire import runs_pb2
 
--- a/packages/fleet/src/endivesaddle/fleet/requests/call_executor.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/call_executor.py
@@ -2,6 +2,7 @@
 
 import anyio
 
+from endivesaddle.fleet.interfaces import Answer, Choice, Routing
 from endivesaddle.fleet.requests import refusals, states
 from endivesaddle.fleet.requests.answering import Answering
 from endivesaddle.fleet.requests.calls import Call, PlacedAttempt
@@ -11,7 +12,6 @@
 from endivesaddle.fleet.requests.holder_client import HolderClient
 from endivesaddle.fleet.requests.starting import Start, Starter
 from endivesaddle.fleet.requests.steps import StepFactory
-from endivesaddle.fleet.seams import Answer, Choice, Routing
 from endivesaddle.fleet.sentinels import HAS_RUN, NOT_RUN, RUN_UNKNOWN, Refusal
 from endivesaddle.wire import holders_pb2, runs_pb2
 
--- a/packages/fleet/src/endivesaddle/fleet/requests/calls.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/calls.py
@@ -5,7 +5,7 @@
 
 import xxhash
 
-from endivesaddle.fleet.seams import CallerRequest, Choice, RoutingRequest
+from endivesaddle.fleet.interfaces import CallerRequest, Choice, RoutingRequest
 from endivesaddle.wire import holders_pb2
 
 SERVICE = 'service'
--- a/packages/fleet/src/endivesaddle/fleet/requests/claims.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/claims.py
@@ -6,6 +6,7 @@
 
 from endivesaddle.fleet.clock import Clock
 from endivesaddle.fleet.identity import Identity
+from endivesaddle.fleet.interfaces import Budgets
 from endivesaddle.fleet.ports import FleetView, Handlers, Peers
 from endivesaddle.fleet.requests import states
 from endivesaddle.fleet.requests.context import Context
@@ -24,7 +25,6 @@
 from endivesaddle.fleet.requests.settling import Ended, Settler
 from endivesaddle.fleet.requests.sweeping import Sweeper
 from endivesaddle.fleet.requests.table import Table
-from endivesaddle.fleet.seams import Budgets
 from endivesaddle.fleet.sentinels import NotHolder
 from endivesaddle.wire import holders_pb2, rpcs
 
--- a/packages/fleet/src/endivesaddle/fleet/requests/context.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/context.py
@@ -4,9 +4,9 @@
 
 from endivesaddle.fleet.clock import Clock
 from endivesaddle.fleet.identity import Identity
+from endivesaddle.fleet.interfaces import Budgets
 from endivesaddle.fleet.ports import FleetView, Peers
 from endivesaddle.fleet.requests.settings import RequestSettings
-from endivesaddle.fleet.seams import Budgets
 
 
 class Context(NamedTuple):
--- a/packages/fleet/src/endivesaddle/fleet/requests/deciding.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/deciding.py
@@ -4,6 +4,7 @@
 
 from endivesaddle.fleet.clock import left_s
 from endivesaddle.fleet.configuration import rendezvous
+from endivesaddle.fleet.interfaces import Reserved
 from endivesaddle.fleet.requests import refusals, states
 from endivesaddle.fleet.requests.context import Context
 from endivesaddle.fleet.requests.events import CLAIM_REFUSED, CLAIM_YIELDED, PROVISIONAL
@@ -12,7 +13,6 @@
 from endivesaddle.fleet.requests.sealed_epochs import SealedEpochs
 from endivesaddle.fleet.requests.steps import StepFactory, append
 from endivesaddle.fleet.requests.table import Entry, Table
-from endivesaddle.fleet.seams import Reserved
 from endivesaddle.fleet.sentinels import NOT_RUN, RUN_UNKNOWN, NotHolder, Refusal
 from endivesaddle.wire import holders_pb2
 
--- a/packages/fleet/src/endivesaddle/fleet/requests/dispatching.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/dispatching.py
@@ -2,11 +2,11 @@
 
 from collections.abc import Callable
 
+from endivesaddle.fleet.interfaces import Reserved
 from endivesaddle.fleet.requests import states
 from endivesaddle.fleet.requests.copies import Copies
 from endivesaddle.fleet.requests.steps import append
 from endivesaddle.fleet.requests.table import Entry
-from endivesaddle.fleet.seams import Reserved
 from endivesaddle.wire import holders_pb2
 
 Sealed = Callable[[holders_pb2.Record], bool]
--- a/packages/fleet/src/endivesaddle/fleet/requests/following.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/following.py
@@ -5,11 +5,11 @@
 import anyio
 
 from endivesaddle.fleet.errors import PeerRefused, PeerSilent, PeerUnreachable
+from endivesaddle.fleet.interfaces import CallerRequest
 from endivesaddle.fleet.requests.calls import PlacedAttempt
 from endivesaddle.fleet.requests.context import Context
 from endivesaddle.fleet.requests.errors import RunForgotten, RunLost
 from endivesaddle.fleet.requests.loss_detector import LossDetector
-from endivesaddle.fleet.seams import CallerRequest
 from endivesaddle.wire import rpcs, runs_pb2
 
 FORGOTTEN = frozenset(('no_such_run', 'other_attempt', 'answer_dropped'))
--- a/packages/fleet/src/endivesaddle/fleet/requests/front.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/front.py
@@ -5,6 +5,7 @@
 
 from endivesaddle.fleet.clock import Clock
 from endivesaddle.fleet.identity import Identity
+from endivesaddle.fleet.interfaces import Answer, Budgets, CallerRequest, Routing
 from endivesaddle.fleet.ports import FleetView, Peers
 from endivesaddle.fleet.requests.answering import Answering
 from endivesaddle.fleet.requests.background import BackgroundTasks
@@ -15,7 +16,6 @@
 from endivesaddle.fleet.requests.finishing import Finisher
 from endivesaddle.fleet.requests.holder_client import HolderClient
 from endivesaddle.fleet.requests.settings import RequestSettings
-from endivesaddle.fleet.seams import Answer, Budgets, CallerRequest, Routing
 from endivesaddle.fleet.sentinels import Refusal
 
 
--- a/packages/fleet/src/endivesaddle/fleet/requests/records.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/records.py
@@ -16,6 +16,7 @@
     StoreUnsure,
 )
 from endivesaddle.fleet.identity import Identity
+from endivesaddle.fleet.interfaces import Budgets
 from endivesaddle.fleet.ports import FleetView, Peers, Store, Stored
 from endivesaddle.fleet.requests import batches
 from endivesaddle.fleet.requests.context import Context
@@ -23,7 +24,6 @@
 from endivesaddle.fleet.requests.events import RECORDS_BROKEN, RECORDS_DELAYED, RECORDS_DROPPED
 from endivesaddle.fleet.requests.finding import Matcher, find_in, match_field
 from endivesaddle.fleet.requests.settings import RequestSettings
-from endivesaddle.fleet.seams import Budgets
 from endivesaddle.fleet.sentinels import Absent, Conflict
 from endivesaddle.wire import holders_pb2, rpcs
 
--- a/packages/fleet/src/endivesaddle/fleet/requests/relaying.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/relaying.py
@@ -3,11 +3,11 @@
 from collections.abc import AsyncGenerator, AsyncIterator, Awaitable, Callable
 from typing import Final
 
+from endivesaddle.fleet.interfaces import AnswerBroken
 from endivesaddle.fleet.requests import refusals, states
 from endivesaddle.fleet.requests.errors import RunForgotten, RunLost
 from endivesaddle.fleet.requests.events import ANSWER_BROKEN
 from endivesaddle.fleet.requests.following import Follower
-from endivesaddle.fleet.seams import AnswerBroken
 from endivesaddle.fleet.sentinels import HAS_RUN
 from endivesaddle.wire import runs_pb2
 
--- a/packages/fleet/src/endivesaddle/fleet/routes/carrying.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/carrying.py
@@ -9,6 +9,7 @@
 from typing import NamedTuple
 
 from endivesaddle.fleet.clock import Clock
+from endivesaddle.fleet.interfaces import NeverSent, ServerLeft, ServerLost, ServerRefused
 from endivesaddle.fleet.routes import run_events as events
 from endivesaddle.fleet.routes.crash_watch import CrashWatch
 from endivesaddle.fleet.routes.declared import RouteServer
@@ -21,7 +22,6 @@
 )
 from endivesaddle.fleet.routes.progress import Progress
 from endivesaddle.fleet.routing.dispatcher import Dispatcher, Place
-from endivesaddle.fleet.seams import NeverSent, ServerLeft, ServerLost, ServerRefused
 from endivesaddle.fleet.sentinels import HAS_RUN, NOT_RUN, RUN_UNKNOWN, Refusal
 
 LEAST_LEFT_S = 0.02
--- a/packages/fleet/src/endivesaddle/fleet/routes/crash_watch.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/crash_watch.py
@@ -12,12 +12,12 @@
 import anyio
 
 from endivesaddle.fleet.clock import Clock
+from endivesaddle.fleet.interfaces import NeverSent, ServerRefused
 from endivesaddle.fleet.routes.declared import RouteServer
 from endivesaddle.fleet.routes.forwarded import ServerLinks
 from endivesaddle.fleet.routes.known import Known
 from endivesaddle.fleet.routing import crash_events as events
 from endivesaddle.fleet.routing.crash_records import CrashRecords, EndedRun
-from endivesaddle.fleet.seams import NeverSent, ServerRefused
 
 CHECK_S = 0.25
 """A refused connection takes one way there and back, also between regions."""
--- a/packages/fleet/src/endivesaddle/fleet/routing/admission.py
+++ b/packages/fleet/src/endivesaddle/fleet/routing/admission.py
@@ -14,6 +14,7 @@
 
 from endivesaddle.fleet.clock import Clock
 from endivesaddle.fleet.identity import Identity
+from endivesaddle.fleet.interfaces import Choice, RoutingRequest
 from endivesaddle.fleet.ports import FleetView
 from endivesaddle.fleet.routing import refusals
 from endivesaddle.fleet.routing.placement import Placement
@@ -21,7 +22,6 @@
 from endivesaddle.fleet.routing.retries import Retries
 from endivesaddle.fleet.routing.settings import RoutingSettings
 from endivesaddle.fleet.routing.table import Group, GroupKey, key_of
-from endivesaddle.fleet.seams import Choice, RoutingRequest
 from endivesaddle.fleet.sentinels import Refusal
 
 DEFAULT_MAX_QUEUED = 64
--- a/packages/fleet/src/endivesaddle/fleet/routing/expected.py
+++ b/packages/fleet/src/endivesaddle/fleet/routing/expected.py
@@ -1,9 +1,9 @@
 """When a server's first token and the whole answer can be expected."""
 
 from endivesaddle.fleet.identity import Identity
+from endivesaddle.fleet.interfaces import RoutingRequest
 from endivesaddle.fleet.routing.servers import Server
 from endivesaddle.fleet.routing.table import Group
-from endivesaddle.fleet.seams import RoutingRequest
 
 SAME_DATA_CENTRE_S = 0.0002
 OTHER_DATA_CENTRE_S = 0.001
--- a/packages/fleet/src/endivesaddle/fleet/routing/placement.py
+++ b/packages/fleet/src/endivesaddle/fleet/routing/placement.py
@@ -4,6 +4,7 @@
 
 from endivesaddle.fleet.clock import Clock
 from endivesaddle.fleet.identity import Identity
+from endivesaddle.fleet.interfaces import Choice, RoutingRequest
 from endivesaddle.fleet.ports import FleetView
 from endivesaddle.fleet.routing import events
 from endivesaddle.fleet.routing.expected import Expected, uncached_tokens
@@ -12,7 +13,6 @@
 from endivesaddle.fleet.routing.servers import Sent, Server
 from endivesaddle.fleet.routing.settings import RoutingSettings
 from endivesaddle.fleet.routing.table import Group, Table, key_of
-from endivesaddle.fleet.seams import Choice, RoutingRequest
 
 DEFAULT_POLICIES = (('engine', 'earliest_first_token'), ('service', 'least_outstanding'))
 """Policy for each kind of backend server, where none is declared."""
--- a/packages/fleet/src/endivesaddle/fleet/routing/policies.py
+++ b/packages/fleet/src/endivesaddle/fleet/routing/policies.py
@@ -11,12 +11,12 @@
 
 import xxhash
 
+from endivesaddle.fleet.interfaces import RoutingRequest
 from endivesaddle.fleet.registry import Registry
 from endivesaddle.fleet.routing.expected import Expected
 from endivesaddle.fleet.routing.prefixes import Prefixes
 from endivesaddle.fleet.routing.servers import Server
 from endivesaddle.fleet.routing.table import Group
-from endivesaddle.fleet.seams import RoutingRequest
 
 SMALL_GROUP = 16
 """Up to so many servers all are compared; beyond, a sample of them."""
--- a/packages/fleet/src/endivesaddle/fleet/routing/queues.py
+++ b/packages/fleet/src/endivesaddle/fleet/routing/queues.py
@@ -10,7 +10,7 @@
 
 import anyio
 
-from endivesaddle.fleet.seams import Choice, RoutingRequest
+from endivesaddle.fleet.interfaces import Choice, RoutingRequest
 from endivesaddle.fleet.sentinels import Refusal
 
 
--- a/packages/fleet/src/endivesaddle/fleet/routing/refusals.py
+++ b/packages/fleet/src/endivesaddle/fleet/routing/refusals.py
@@ -2,7 +2,7 @@
 
 from random import Random
 
-from endivesaddle.fleet.seams import RoutingRequest
+from endivesaddle.fleet.interfaces import RoutingRequest
 from endivesaddle.fleet.sentinels import NOT_RUN, Refusal
 
 UNAVAILABLE = 503
--- a/packages/fleet/src/endivesaddle/fleet/routing/table.py
+++ b/packages/fleet/src/endivesaddle/fleet/routing/table.py
@@ -9,12 +9,12 @@
 from itertools import chain
 
 from endivesaddle.fleet.configuration import BackendServer
+from endivesaddle.fleet.interfaces import RoutingRequest
 from endivesaddle.fleet.ports import FleetView
 from endivesaddle.fleet.routing import events
 from endivesaddle.fleet.routing.prefixes import Prefixes
 from endivesaddle.fleet.routing.servers import LEARNING_RATE, Server
 from endivesaddle.fleet.routing.settings import RoutingSettings
-from endivesaddle.fleet.seams import RoutingRequest
 from endivesaddle.wire import runs_pb2
 
 MOST_PACE = 4.0
--- a/packages/fleet/src/endivesaddle/fleet/runs/execution.py
+++ b/packages/fleet/src/endivesaddle/fleet/runs/execution.py
@@ -7,9 +7,9 @@
 import anyio
 
 from endivesaddle.fleet.clock import Clock, left_s
+from endivesaddle.fleet.interfaces import BackendServerClient, EngineEvent, NeverSent, ServerLost
 from endivesaddle.fleet.runs.events import OVER_REPORTED, RUN_ENDED, USAGE_MISSING
 from endivesaddle.fleet.runs.run import ANSWERED, CANCELLED, FAILED, UNKNOWN, Run
-from endivesaddle.fleet.seams import BackendServerClient, EngineEvent, NeverSent, ServerLost
 from endivesaddle.wire import runs_pb2
 
 ENGINE = 'engine'
--- a/packages/fleet/src/endivesaddle/fleet/runs/orders.py
+++ b/packages/fleet/src/endivesaddle/fleet/runs/orders.py
@@ -10,12 +10,12 @@
 from endivesaddle.fleet.configuration import BackendServer
 from endivesaddle.fleet.errors import StoreUnreachable, StoreUnsure
 from endivesaddle.fleet.identity import Identity
+from endivesaddle.fleet.interfaces import BackendServerClient, NeverSent, ServerLost
 from endivesaddle.fleet.ports import Handlers, Store
 from endivesaddle.fleet.runs.events import ORDER_CORRECTED, ORDER_DONE, ORDER_REFUSED
 from endivesaddle.fleet.runs.order_lease import OrderLease
 from endivesaddle.fleet.runs.order_state import LOAD, ROLE, UNLOAD, Kept, OrderStore, Wanted
 from endivesaddle.fleet.runs.settings import RunSettings
-from endivesaddle.fleet.seams import BackendServerClient, NeverSent, ServerLost
 from endivesaddle.wire import rpcs, runs_pb2
 
 KINDS = frozenset((LOAD, UNLOAD, ROLE))
--- a/packages/fleet/src/endivesaddle/fleet/runs/runs.py
+++ b/packages/fleet/src/endivesaddle/fleet/runs/runs.py
@@ -7,6 +7,7 @@
 
 from endivesaddle.fleet.clock import Clock
 from endivesaddle.fleet.identity import Identity
+from endivesaddle.fleet.interfaces import BackendServerClient, ServerLost
 from endivesaddle.fleet.ports import FleetView, Handlers, Peers
 from endivesaddle.fleet.runs.drain import Drain
 from endivesaddle.fleet.runs.events import RUN_REFUSED, RUNS_SEALED
@@ -17,7 +18,6 @@
 from endivesaddle.fleet.runs.settings import RunSettings
 from endivesaddle.fleet.runs.settlement import Settlement
 from endivesaddle.fleet.runs.shelf import Shelf
-from endivesaddle.fleet.seams import BackendServerClient, ServerLost
 from endivesaddle.wire import holders_pb2, rpcs, runs_pb2
 
 SWEEP_S = 5.0
--- a/packages/stand_ins/src/endivesaddle/stand_ins/batching_bench.py
+++ b/packages/stand_ins/src/endivesaddle/stand_ins/batching_bench.py
@@ -12,8 +12,8 @@
 
 from endivesaddle.fleet.clock import LoopClock
 from endivesaddle.fleet.identity import Identity
+from endivesaddle.fleet.interfaces import Choice, RoutingRequest
 from endivesaddle.fleet.routing import Admission, RoutingSettings
-from endivesaddle.fleet.seams import Choice, RoutingRequest
 from endivesaddle.fleet.sentinels import Refusal
 from endivesaddle.stand_ins.batching import BatchingEngine, EngineModel, Job
 from endivesaddle.stand_ins.batching_faults import Faults
--- a/packages/stand_ins/src/endivesaddle/stand_ins/budget_variants.py
+++ b/packages/stand_ins/src/endivesaddle/stand_ins/budget_variants.py
@@ -16,9 +16,9 @@
 from endivesaddle.fleet.configuration import shard_of
 from endivesaddle.fleet.errors import StoreUnreachable
 from endivesaddle.fleet.identity import Identity
+from endivesaddle.fleet.interfaces import Budgets, Reserved
 from endivesaddle.fleet.ports import FleetView, Handlers, Peers, Store
 from endivesaddle.fleet.registry import Registry
-from endivesaddle.fleet.seams import Budgets, Reserved
 from endivesaddle.fleet.sentinels import NOT_RUN, NotHolder, Refusal
 from endivesaddle.wire import holders_pb2, members_pb2, runs_pb2
 
--- a/packages/stand_ins/src/endivesaddle/stand_ins/engine_memory.py
+++ b/packages/stand_ins/src/endivesaddle/stand_ins/engine_memory.py
@@ -4,7 +4,7 @@
 
 import anyio
 
-from endivesaddle.fleet.seams import EngineEvent, NeverSent, ServerLost
+from endivesaddle.fleet.interfaces import EngineEvent, NeverSent, ServerLost
 from endivesaddle.stand_ins.engine_answers import Asked
 from endivesaddle.stand_ins.engine_state import EngineState
 from endivesaddle.wire import runs_pb2
--- a/packages/stand_ins/src/endivesaddle/stand_ins/memory_fleet.py
+++ b/packages/stand_ins/src/endivesaddle/stand_ins/memory_fleet.py
@@ -20,10 +20,10 @@
 from endivesaddle.fleet.configuration import SHARDS
 from endivesaddle.fleet.errors import StoreUnreachable
 from endivesaddle.fleet.identity import Identity
+from endivesaddle.fleet.interfaces import BackendServerClient
 from endivesaddle.fleet.membership import MembershipSettings
 from endivesaddle.fleet.ports import Handlers, Stored
 from endivesaddle.fleet.requests import RequestSettings
-from endivesaddle.fleet.seams import BackendServerClient
 from endivesaddle.operators.settings import OperatorSettings
 from endivesaddle.stand_ins.engine_memory import MemoryEngine
 from endivesaddle.stand_ins.engine_state import EngineState
--- a/packages/stand_ins/src/endivesaddle/stand_ins/service.py
+++ b/packages/stand_ins/src/endivesaddle/stand_ins/service.py
@@ -6,7 +6,7 @@
 import anyio
 import msgspec
 
-from endivesaddle.fleet.seams import EngineEvent, NeverSent, ServerLost
+from endivesaddle.fleet.interfaces import EngineEvent, NeverSent, ServerLost
 from endivesaddle.stand_ins.engine import Died, Message, Receive, Send, answer_lifespan, read_body
 from endivesaddle.wire import runs_pb2
 
--- a/tools/bench_runs.py
+++ b/tools/bench_runs.py
@@ -20,8 +20,8 @@
 from endivesaddle.fleet.clock import WallClock
 from endivesaddle.fleet.configuration import Configuration
 from endivesaddle.fleet.identity import Identity
+from endivesaddle.fleet.interfaces import EngineEvent
 from endivesaddle.fleet.runs import Runs, RunSettings
-from endivesaddle.fleet.seams import EngineEvent
 from endivesaddle.stand_ins.memory_peers import MemoryNet
 from endivesaddle.wire import runs_pb2
 
--- a/tools/bench_slopes.py
+++ b/tools/bench_slopes.py
@@ -20,12 +20,12 @@
 
 from endivesaddle.fleet.configuration import Account, BackendServer, Configuration
 from endivesaddle.fleet.identity import Identity
+from endivesaddle.fleet.interfaces import Choice, RoutingRequest
 from endivesaddle.fleet.routing import Admission, RoutingSettings
 from endivesaddle.fleet.routing.placement import Placement
 from endivesaddle.fleet.routing.prefixes import Prefixes
 from endivesaddle.fleet.routing.queues import Queue, Waiting
 from endivesaddle.fleet.routing.retries import Retries
-from endivesaddle.fleet.seams import Choice, RoutingRequest
 from endivesaddle.wire import members_pb2, runs_pb2
 
 SERVERS = (8, 80, 800)
