--- a/packages/fleet/src/endivesaddle/fleet/requests/__init__.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/__init__.py
@@ -1,4 +1,4 @@
-"""The life of a request: claimed once, dispatched, followed, settled, recorded."""
+"""The request life cycle: a request is claimed, dispatched, followed, settled and recorded."""
 
 from endivesaddle.fleet.requests.claims import Claims
 from endivesaddle.fleet.requests.front import RequestFront
--- a/packages/fleet/src/endivesaddle/fleet/requests/answering.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/answering.py
@@ -1,4 +1,4 @@
-"""Turning a followed run into the caller's answer."""
+"""Conversion of a followed run into the caller's answer."""
 
 from collections.abc import AsyncGenerator, AsyncIterator
 from typing import NamedTuple
@@ -17,7 +17,7 @@
 
 
 class OpenedAnswer(NamedTuple):
-    """An answer of which the caller has nothing yet, with its first bytes."""
+    """An answer that has not been passed to the caller yet, with its first bytes."""
 
     follower: Follower
     pieces: AsyncGenerator[bytes, None]
@@ -25,21 +25,21 @@
 
 
 class Answering:
-    """Holds an answer back while it may yet have to be started again."""
+    """Holds an answer back for as long as the request may still be run again."""
 
     def __init__(
         self, context: Context, routing: Routing, finisher: Finisher, background: BackgroundTasks
     ) -> None:
-        """Settle through ``finisher``; follow up callers who left in ``background``."""
+        """Settle through ``finisher``; handle disconnected callers in ``background``."""
         self._context = context
         self._routing = routing
         self._finisher = finisher
         self._background = background
 
     async def answer(self, call: Call, placed: PlacedAttempt) -> Answer | Refusal | runs_pb2.End:
-        """Return the answer, or the end of a run that gave the caller nothing.
+        """Return the answer, or the end of a run of which the caller received nothing.
 
-        A run whose sidecar is lost is an end whose outcome is unknown.
+        If the sidecar is lost, the end has the outcome "unknown".
         """
         follower = Follower(self._context, call.request, placed)
         pieces = follower.pieces()
@@ -58,12 +58,12 @@
         return await self._finish_whole(call, opened, end)
 
     def abandon(self, call: Call) -> None:
-        """Follow up a call whose caller went away."""
+        """Handle a call whose caller has disconnected."""
         self.release(call, ok=True)
         self._background.start(self._finisher.handle_departure, call)
 
     def release(self, call: Call, ok: bool, used_tokens: int = 0) -> None:
-        """Tell routing of the end of what it admitted, once."""
+        """Report the end of an admitted attempt to routing, once."""
         choice = call.choice
         call.choice = None
         if choice is not None:
@@ -72,7 +72,7 @@
     async def _read_first(
         self, call: Call, follower: Follower, pieces: AsyncGenerator[bytes, None]
     ) -> bytes:
-        """Return what is held back: a whole answer, or the first token of a streamed one."""
+        """Return the bytes held back: a whole answer, or the first token of a streamed one."""
         held_bytes = 1 if call.request.stream else self._context.settings.buffer_bytes
         held = bytearray()
         async for piece in pieces:
@@ -103,9 +103,10 @@
         used_tokens = 0 if end is None else end.used_tokens
         self.release(call, ok=outcome == states.ANSWERED, used_tokens=used_tokens)
         if call.request.may_repeat and outcome in {states.UNKNOWN, states.FAILED}:
-            # Settled here, every retry would attach to the broken answer, though it may
-            # be run again under the same reservation.  The sidecar settles it in a
-            # while, or the holder at the deadline, if no retry has by then.
+            # The request is not settled here, since every retry would then attach to the
+            # broken answer, although the request may be run again under the same
+            # reservation. If no retry does that, the sidecar settles it after a while, or
+            # the holder at the deadline.
             return
         await self._finisher.settle(call, outcome, used_tokens)
 
--- a/packages/fleet/src/endivesaddle/fleet/requests/background.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/background.py
@@ -1,4 +1,4 @@
-"""Tasks that outlive the call that began them."""
+"""Background tasks that outlive the call that started them."""
 
 from collections.abc import Awaitable, Callable
 from typing import Any
@@ -12,18 +12,18 @@
 
 
 class BackgroundTasks:
-    """Start tasks in the instance's own task group, never in that of a call.
+    """Starts tasks in a task group of the instance, never in that of a call.
 
-    A call is cancelled when its link breaks; what it began must not be.
+    A call is cancelled when its connection breaks; the tasks it started must not be.
     """
 
     def __init__(self) -> None:
-        """Keep what is started before ``run``."""
+        """Initialize; tasks started before ``run`` are queued."""
         self._group: TaskGroup | None = None
         self._waiting: list[tuple[Work, tuple[Any, ...]]] = []
 
     async def run(self) -> None:
-        """Carry out what is started, until cancelled."""
+        """Run the started tasks until cancelled."""
         async with anyio.create_task_group() as group:
             self._group = group
             while self._waiting:
@@ -35,7 +35,7 @@
                 self._group = None
 
     def start(self, work: Work, *args: Any) -> None:
-        """Start ``work(*args)``."""
+        """Start ``work(*args)`` as a task."""
         if self._group is None:
             self._waiting.append((work, args))
             return
@@ -43,7 +43,7 @@
 
 
 async def _guard(work: Work, args: tuple[Any, ...]) -> None:
-    # A fault in one request's task would cancel the tasks of all others.
+    # An uncaught exception in the task of one request would cancel all other tasks.
     try:
         await work(*args)
     except Exception as error:  # noqa: BLE001
--- a/packages/fleet/src/endivesaddle/fleet/requests/batches.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/batches.py
@@ -1,4 +1,4 @@
-"""Batches of ended records, as they lie in the store."""
+"""Batches of ended records in the format of the store."""
 
 import zlib
 from collections.abc import Sequence
@@ -10,27 +10,27 @@
 from endivesaddle.wire import holders_pb2
 
 FORMAT = b'\x01'
-"""First byte of a batch; a reader of another format leaves it alone."""
+"""First byte of a batch; readers reject a batch with another one."""
 LEVEL = 1
-"""Fast compression: records resemble each other, so the first level does most."""
+"""Compression level; records are similar, so the fastest level saves almost as much."""
 
 
 class Filled(NamedTuple):
-    """A batch's bytes, empty where nothing was added, and the records that did not fit."""
+    """The bytes of a batch, empty if nothing was added, and the records that did not fit."""
 
     value: bytes
     left: list[holders_pb2.Record]
 
 
 def encode(batch: holders_pb2.Batch) -> bytes:
-    """Return a batch as the store keeps it."""
+    """Return a batch in the format of the store."""
     return FORMAT + zlib.compress(batch.SerializeToString(), LEVEL)
 
 
 def decode(stored: bytes) -> holders_pb2.Batch:
-    """Return a batch from the store; raises ``BrokenBatch``."""
+    """Return a batch read from the store; raises ``BrokenBatch`` if it can't be decoded."""
     if stored[:1] != FORMAT:
-        raise BrokenBatch(f'format {stored[:1]!r} is not known')
+        raise BrokenBatch(f'batch format {stored[:1]!r} is unknown')
     try:
         return holders_pb2.Batch.FromString(zlib.decompress(stored[1:]))
     except (zlib.error, DecodeError) as error:
@@ -40,7 +40,7 @@
 def fill(
     batch: holders_pb2.Batch, records: Sequence[holders_pb2.Record], most_bytes: int
 ) -> Filled:
-    """Add as many records as fit; one that is there already counts as added."""
+    """Add as many records as fit in ``most_bytes``; one already in the batch counts as added."""
     known = {record.request_key for record in batch.records}
     fresh = [record for record in records if record.request_key not in known]
     count = len(fresh)
--- a/packages/fleet/src/endivesaddle/fleet/requests/call_executor.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/call_executor.py
@@ -1,4 +1,4 @@
-"""One call of a caller, driven from its claim to its answer."""
+"""Execution of one caller's call, from its claim to its answer."""
 
 import anyio
 
@@ -17,10 +17,10 @@
 
 
 class CallExecutor:
-    """Claims, places, starts and follows; goes round again until there is an answer.
+    """Claims a request, places it on a backend server, starts the run and follows it.
 
-    Each method returns the caller's answer or refusal, or None: the claim has to
-    be looked at again.
+    Repeats these steps until there is an answer or a refusal. Each method returns the
+    caller's answer or refusal, or None if the claim has to be read again.
     """
 
     def __init__(
@@ -31,7 +31,7 @@
         finisher: Finisher,
         answering: Answering,
     ) -> None:
-        """Drive calls of one router."""
+        """Execute the calls of one router."""
         self._context = context
         self._routing = routing
         self._holder_client = holder_client
@@ -41,7 +41,7 @@
         self._step_factory = StepFactory(context.identity, context.clock)
 
     async def execute(self, call: Call) -> Answer | Refusal:
-        """Return the whole answer, or a refusal that is true."""
+        """Return the answer, or a refusal whose ``not_run`` claims no more than is known."""
         while True:
             reply = await self._holder_client.claim(call)
             if isinstance(reply, Refusal):
@@ -68,12 +68,12 @@
         return _refusal_of_ended(record)
 
     async def _follow_again(self, call: Call) -> Answer | Refusal:
-        """Follow a run that was given up: it may have gone on and be in reach again."""
+        """Follow a run that was given up; it may have continued and be reachable again."""
         result = await self._answering.answer(call, call.placed())
         return _refusal_of_ended(call.record) if isinstance(result, runs_pb2.End) else result
 
     def _is_stale(self, record: holders_pb2.Record) -> bool:
-        """Tell whether the router that claimed seems to be gone; a guess does no harm."""
+        """Tell whether the claiming router appears to be gone; a wrong guess is harmless."""
         addresses = {member.address for member in self._context.view.members('router')}
         waited_s = self._context.now_s() - record.claimed_unix_s
         return waited_s >= self._context.settings.takeover_s or record.router not in addresses
@@ -81,14 +81,14 @@
     async def _attach(self, call: Call) -> Answer | Refusal | None:
         placed = call.placed()
         if call.record.state == states.ENDED:
-            # A start would run it again where the sidecar has forgotten it.
+            # A START would run the request again if the sidecar no longer remembers it.
             return await self._follow(call, placed)
         if placed.attempt in call.withdrawn:
             return None
         if call.request.may_repeat or placed.incarnation:
             return await self._run(call, placed, own=False)
-        # Without its incarnation a sidecar may have been restarted: a START could
-        # run a second time what may not be repeated.
+        # The sidecar's incarnation is not known, so it may have restarted since: a START
+        # could then run a non-repeatable request a second time.
         return await self._follow(call, placed)
 
     async def _place(self, call: Call) -> Answer | Refusal | None:
@@ -109,8 +109,8 @@
             return await self._give_up(call, refusals.NO_COPY.refuse(NOT_RUN))
         if reason == states.OLD_EPOCH and call.record.state == states.DISPATCHED:
             await self._withdraw(call, states.LOST, reason)
-        # Where the note's reply was lost it may have been accepted, and another
-        # call's router may start what this one does not.
+        # If the reply to the note was lost, the note may have been accepted, and the router
+        # of another call may start the attempt although this one does not.
         call.may_have_run = call.may_have_run or reason == states.NO_RECORD
         return None
 
@@ -118,7 +118,7 @@
         excluded = frozenset(call.excluded | call.passed_over)
         choice = await self._routing.admit(call.routing_request(), excluded)
         if isinstance(choice, Refusal) and call.passed_over:
-            # Those that refused for now may take it a little later.
+            # Servers that refused temporarily may accept the request a little later.
             call.passed_over.clear()
             await anyio.sleep(self._context.settings.retry_pause_s * call.tries)
             choice = await self._routing.admit(call.routing_request(), frozenset(call.excluded))
@@ -179,8 +179,8 @@
         return await self._handle_lost(call, placed, outcome.reason)
 
     async def _stop(self, call: Call, placed: PlacedAttempt, reason: str) -> bool:
-        # Another router may know of this dispatch and start it a moment later: a
-        # request that may not be repeated would run here and elsewhere.
+        # Another router may know of this dispatch and start it shortly after, so that a
+        # non-repeatable request would run on two servers.
         if call.request.may_repeat:
             return True
         return await self._starter.stop(call, placed, reason)
@@ -188,7 +188,10 @@
     async def _try_other_server(
         self, call: Call, placed: PlacedAttempt, stopped: bool, reason: str
     ) -> Answer | Refusal | None:
-        """Go to another server with an attempt that did not run; ``stopped``: nor will."""
+        """Try another server after an attempt that did not run.
+
+        ``stopped`` is set if the attempt can no longer start at its sidecar either.
+        """
         self._answering.release(call, ok=False)
         call.passed_over.add(placed.server)
         step_name = states.REFUSED_START if stopped else states.NEVER_SENT
@@ -208,7 +211,7 @@
     async def _handle_end(
         self, call: Call, placed: PlacedAttempt, end: runs_pb2.End
     ) -> Answer | Refusal | None:
-        """Go on after a run that gave the caller nothing."""
+        """Continue after a run of which the caller received nothing."""
         if end.not_run:
             return await self._try_other_server(call, placed, stopped=True, reason=end.reason)
         if end.outcome == states.CANCELLED:
@@ -223,7 +226,7 @@
     async def _handle_lost(
         self, call: Call, placed: PlacedAttempt, reason: str, end: runs_pb2.End | None = None
     ) -> Answer | Refusal | None:
-        """Go on after an attempt that may have run: once more where that is allowed."""
+        """Continue after an attempt that may have run, with a new one if that is allowed."""
         SIDECAR_LOST.log(request_key=call.request.key, server=placed.server, reason=reason)
         call.may_have_run = True
         call.excluded.add(placed.server)
@@ -247,7 +250,7 @@
         return self._routing.may_retry(request.account)
 
     async def _give_up(self, call: Call, refusal: Refusal) -> Refusal:
-        """Refuse, and give the reservation back where nothing ran under it."""
+        """Refuse the call, and release the reservation if nothing ran under it."""
         detail = f'{refusal.code}: {refusal.reason}'
         call.steps.append(self._step_factory.step(states.TOLD, call.record.attempt, detail))
         if call.may_have_run:
@@ -275,7 +278,7 @@
 
 
 def _refusal_of_ended(record: holders_pb2.Record) -> Refusal:
-    """Return what a retry hears of a request that ended without an answer."""
+    """Return the refusal for a retry of a request that ended without an answer."""
     if record.outcome == states.CANCELLED:
         return refusals.ANSWER_CANCELLED.refuse(HAS_RUN)
     if record.outcome == states.FAILED:
--- a/packages/fleet/src/endivesaddle/fleet/requests/calls.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/calls.py
@@ -1,4 +1,4 @@
-"""One call of a caller at this router, and what it knows as it goes on."""
+"""The state of one caller's call at this router."""
 
 import uuid
 from typing import NamedTuple
@@ -12,7 +12,7 @@
 
 
 class PlacedAttempt(NamedTuple):
-    """An attempt at the sidecar that was chosen for it."""
+    """An attempt, and the backend server and sidecar chosen for it."""
 
     attempt: int
     server: str
@@ -23,16 +23,17 @@
 class Call:
     """A caller's request at this router, from its claim to its end.
 
-    ``may_be_claimed`` tells that a claim was sent which was or may have been granted: the
-    next one, perhaps at another holder, counts as a retry.  ``may_have_run`` is set
-    once a backend server may have got it.  ``choice`` is what routing has to hear
-    the end of.  ``excluded`` are servers that were lost, ``passed_over`` those that
-    refused for now.  ``withdrawn`` are attempts that this call starts no more;
-    ``tries`` counts those that it dispatched, as attempts go on from call to call.
+    ``may_be_claimed`` is set once a claim was or may have been granted: the next one,
+    possibly at another holder, counts as a retry. ``may_have_run`` is set once a backend
+    server may have received the request. ``choice`` is the choice of routing whose end has
+    to be reported to it. ``excluded`` are servers that were lost, ``passed_over`` servers
+    that refused temporarily. ``withdrawn`` are attempts that this call will not start any
+    more. ``tries`` counts the attempts that this call dispatched; attempt numbers can't
+    serve for that, as they continue from one call of a request to the next.
     """
 
     def __init__(self, request: CallerRequest, data_centre: str) -> None:
-        """Start with nothing known but the request."""
+        """Initialize a call that has not been claimed."""
         self.request = request
         self.call_id = uuid.uuid4().hex
         self.digest = _digest(request)
@@ -55,12 +56,12 @@
 
     @property
     def first_attempt(self) -> bool:
-        """Tell whether nothing of the request can be known to any holder."""
+        """Tell whether no holder can know the request yet."""
         return self.no_earlier_attempt and not self.may_be_claimed
 
     @property
     def target(self) -> str:
-        """The model, or the service and what is called on it."""
+        """The model, or the service with method and path."""
         request = self.request
         if request.kind == SERVICE:
             return f'service {request.service} {request.method} {request.path}'
--- a/packages/fleet/src/endivesaddle/fleet/requests/claims.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/claims.py
@@ -1,4 +1,4 @@
-"""Claims of requests at the holder of their account's budget."""
+"""Claims of requests at the holder of the account's budget."""
 
 from collections.abc import Sequence
 
@@ -30,10 +30,10 @@
 
 
 class Claims:
-    """What an instance answers as holder, and as keeper of copies for others.
+    """The calls that an instance answers as a holder, and as a replica of other holders.
 
-    One table of records by request key.  Every answer may be asked for again:
-    a claim that is sent twice is granted once.
+    Records are kept in one table by request key. All calls are idempotent: a claim that is
+    sent twice is granted once.
     """
 
     def __init__(  # noqa: WPS211 (the ports of a holder, and two hooks)
@@ -47,7 +47,7 @@
         matcher: Matcher = match_field,
         ended: Ended = lambda _: None,
     ) -> None:
-        """Claim against ``budgets``; ``ended(record)`` is told of complete records."""
+        """Grant claims from ``budgets``; ``ended(record)`` is called with complete records."""
         context = Context(settings, identity, budgets, peers, view, clock)
         self._context = context
         self._matcher = matcher
@@ -68,7 +68,7 @@
         self._sweeper = Sweeper(context, self._table, self._settler, retry_querier)
 
     def register(self, handlers: Handlers) -> None:
-        """Answer the calls of holders.proto that are about requests."""
+        """Register handlers for the calls of holders.proto that concern requests."""
         handlers.answer(rpcs.CLAIM, self.claim)
         handlers.answer(rpcs.ASK, self._retry_query_handler.ask)
         handlers.answer(rpcs.NOTE, self.note)
@@ -78,17 +78,17 @@
         handlers.answer(rpcs.SEAL_CLAIMS, self.answer_seal)
 
     async def run(self) -> None:
-        """Carry out claims, close what nobody reports, forget what is old."""
+        """Decide claims, close unreported ones and expire old records until cancelled."""
         async with anyio.create_task_group() as group:
             group.start_soon(self._granter.run)
             group.start_soon(self._sweeper.run, self._marks, self._copies)
 
     async def claim(self, message: holders_pb2.ClaimRequest) -> holders_pb2.ClaimReply:
-        """Grant a request, tell that it is known or waiting, or refuse it."""
+        """Grant or refuse a claim, or report that its request is known or still waiting."""
         return await self._granter.claim(message)
 
     async def note(self, message: holders_pb2.NoteRequest) -> holders_pb2.NoteReply:
-        """Write down steps; accept or refuse a dispatch."""
+        """Record the steps of a note; accept or reject a dispatch."""
         held = self._context.budgets.held(message.account)
         if isinstance(held, NotHolder):
             return holders_pb2.NoteReply(reason=held.reason, holder=held.holder)
@@ -98,7 +98,7 @@
         return await self._dispatcher.note(entry, message, held)
 
     async def settle(self, message: holders_pb2.SettleRequest) -> holders_pb2.SettleReply:
-        """Settle a request, once, whoever reports it and how often."""
+        """Settle a request once, however many reports of it arrive."""
         own = self._context.identity.data_centre
         if message.data_centre not in {'', own}:
             holder = self._context.budgets.holder_address(message.account, message.data_centre)
@@ -115,7 +115,7 @@
         return self._settler.settle(entry, message)
 
     async def find(self, message: holders_pb2.FindRequest) -> holders_pb2.FindReply:
-        """Look through the table and the copies kept for others."""
+        """Find records in the table, the refusals and the copies kept for other instances."""
         refused = self._table.refused
         own = [refused.with_refusals(entry.record) for entry in self._table]
         alone = [
@@ -124,7 +124,7 @@
         return find_in(message, [*own, *self._copies.records(), *alone], self._matcher)
 
     async def answer_seal(self, message: holders_pb2.SealRequest) -> holders_pb2.SealReply:
-        """Seal epochs and report what was claimed under them."""
+        """Seal epochs and reply with the records claimed under them."""
         return holders_pb2.SealReply(
             sealed=True,
             instance=self._context.identity.instance,
@@ -134,28 +134,28 @@
         )
 
     async def seal(self, message: holders_pb2.SealRequest) -> Sequence[holders_pb2.Record]:
-        """Grant nothing more under the sealed epochs; report what was claimed."""
+        """Seal epochs and return the records claimed under them."""
         records = [entry.record for entry in self._table]
         return self._seals.seal(message, [*records, *self._copies.records()])
 
     def adopt(self, shard: int, records: Sequence[holders_pb2.Record], complete: bool) -> None:
-        """Take in what ran under sealed epochs; ``complete``: nothing is missing."""
+        """Merge records of sealed epochs; ``complete`` is set if none is missing."""
         for record in records:
             if record.shard == shard:
                 self._record_merger.merge(record)
         self._counters.add('adopted', len(records))
 
     def find_copy(self, request_key: str) -> holders_pb2.Record | None:
-        """Return the copy of a record that is kept here for another instance."""
+        """Return the copy of a record kept for another instance, if there is one."""
         return self._copies.find(request_key)
 
     def find_record(self, request_key: str) -> holders_pb2.Record | None:
-        """Return what is known of a request here as its holder."""
+        """Return the record of a request that this instance holds, if there is one."""
         entry = self._table.find(request_key)
         return None if entry is None else entry.record
 
     def dump(self) -> dict[str, object]:
-        """Return the state for the dump of the process."""
+        """Return the state for the state dump of the process."""
         return {
             'records': len(self._table),
             'copies': len(self._copies),
@@ -166,7 +166,7 @@
         }
 
     def counters(self) -> dict[str, float]:
-        """Return counters for metrics."""
+        """Return the counters for metrics, by name."""
         return {
             **self._counters.read(),
             'records': len(self._table),
@@ -179,7 +179,7 @@
 
 
 def _reopened(record: holders_pb2.Record) -> holders_pb2.Record:
-    """Return a full copy of a lost claim, ready to be settled."""
+    """Return a copy of the record of a lost claim, in a state that can be settled."""
     reopened = holders_pb2.Record()
     reopened.CopyFrom(record)
     reopened.state = states.DISPATCHED
--- a/packages/fleet/src/endivesaddle/fleet/requests/context.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/context.py
@@ -1,4 +1,4 @@
-"""What all parts of one instance's requests work with."""
+"""The dependencies shared by all parts that handle requests on one instance."""
 
 from typing import NamedTuple
 
@@ -10,7 +10,7 @@
 
 
 class Context(NamedTuple):
-    """One instance: its settings, name and place, and its view of the others."""
+    """The settings, identity and ports of one instance, and its view of the others."""
 
     settings: RequestSettings
     identity: Identity
@@ -20,14 +20,14 @@
     clock: Clock
 
     def now_s(self) -> float:
-        """Return the time now, in Unix seconds."""
+        """Return the current time in Unix seconds."""
         return self.clock.now_s()
 
     def other_data_centres(self) -> list[str]:
-        """Return all data centres but this instance's.
+        """Return all data centres except that of this instance.
 
-        Those that the configuration names, in view or not, and any other in which a
-        router was seen: one that is left out would never be asked about a retry.
+        These are all that the configuration names, visible or not, and any other in which a
+        router was seen: a data centre left out would never be queried about a retry.
         """
         seen = {member.data_centre for member in self.view.members('router')}
         known = seen.union(self.view.configuration.data_centres)
--- a/packages/fleet/src/endivesaddle/fleet/requests/copies.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/copies.py
@@ -12,32 +12,32 @@
 from endivesaddle.wire import holders_pb2, rpcs
 
 MAX_TRIES = 4
-"""Instances that are tried for one copy."""
+"""Instances that are tried for storing one copy."""
 HEDGE_S = 0.1
-"""How long one may be silent before the next is tried as well."""
+"""Seconds without a reply after which the next instance is tried as well."""
 
 _ORDER = (states.CLAIMED, states.DISPATCHED, states.UNKNOWN, states.REFUSED, states.ENDED)
 
 
 class Copies:
-    """Keeps copies for other instances, and finds a keeper for one's own.
+    """Keeps copies for other instances, and stores its own records on them.
 
-    Failure: the holder that granted a claim dies.  Symptom: its successor knows
-    of no run and a retry runs a second time.  The copy lies where the retry's
-    question comes by: at the account's holder in another data centre.
+    Failure: the holder that granted a claim dies. Symptom: its successor knows of no run,
+    and a retry runs the request a second time. The copy is kept where the query about the
+    retry arrives: at the account's holder in another data centre.
     """
 
     def __init__(self, context: Context) -> None:
-        """Start without any."""
+        """Initialize with no copies."""
         self._context = context
         self._kept = Table(context.settings, context.clock)
 
     def __len__(self) -> int:
-        """Return the number of copies kept here."""
+        """Return the number of copies on this instance."""
         return len(self._kept)
 
     async def copy(self, message: holders_pb2.CopyRequest) -> holders_pb2.CopyReply:
-        """Keep a copy for another instance."""
+        """Store a copy for another instance."""
         record = message.record
         kept = self._kept.find(record.request_key)
         if kept is None and self._kept.full():
@@ -57,7 +57,7 @@
             yield entry.record
 
     def sweep(self) -> None:
-        """Forget old copies."""
+        """Remove expired copies."""
         for entry in self._kept.due():
             record = entry.record
             began_unix_s = max(record.deadline_unix_s, record.claimed_unix_s, record.ended_unix_s)
@@ -68,10 +68,10 @@
                 self._kept.schedule(record.request_key, forget_unix_s)
 
     async def replicate(self, record: holders_pb2.Record) -> bool:
-        """Have another instance keep a copy; False when none could.
+        """Store a copy on another instance; return whether one accepted it.
 
-        The next instance is asked when the one before has not answered for a
-        moment, so that a silent one doesn't hold the request up.
+        The next instance is tried as well when the one before has not answered within
+        ``HEDGE_S``, so that a silent instance doesn't delay the request.
         """
         kept = anyio.Event()
         with anyio.move_on_after(self._context.settings.ask_s):
--- a/packages/fleet/src/endivesaddle/fleet/requests/counting.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/counting.py
@@ -1,4 +1,4 @@
-"""Plain counters; the daemon exports them as metrics."""
+"""Counters that the daemon exports as metrics."""
 
 from collections import Counter
 
@@ -7,22 +7,22 @@
 
 
 class Counters:
-    """Count by name."""
+    """Counters by name."""
 
     def __init__(self) -> None:
-        """Start at zero."""
+        """Initialize with no counters."""
         self._counts: Counter[str] = Counter()
 
     def add(self, name: str, more: int = 1) -> None:
-        """Count something."""
+        """Add ``more`` to a counter."""
         self._counts[name] += more
 
     def read(self) -> dict[str, float]:
-        """Return all counters."""
+        """Return all counters, sorted by name."""
         return dict(sorted(self._counts.items()))
 
     def ended(self, then: Ended) -> Ended:
-        """Return a hook that counts outcomes and bills, then tells ``then``."""
+        """Return a hook that counts outcomes and billed tokens, then calls ``then``."""
 
         def count(record: holders_pb2.Record) -> None:
             self.add(f'outcome_{record.outcome}')
--- a/packages/fleet/src/endivesaddle/fleet/requests/deciding.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/deciding.py
@@ -1,4 +1,4 @@
-"""What a holder decides on a new claim: ask, reserve, grant or refuse."""
+"""The decision of a holder on a new claim: query other data centres, reserve, grant or refuse."""
 
 import anyio
 
@@ -21,18 +21,21 @@
 
 
 def has_precedence(request_key: str, one: str, other: str) -> bool:
-    """Tell which of two crossing claims goes first, the same in every data centre."""
+    """Tell whether ``one`` has precedence over ``other`` for two crossing claims.
+
+    Every data centre gets the same result.
+    """
     return rendezvous(request_key, [one, other])[0] == one
 
 
 class Pending:
-    """A claim under way; others with the same key wait for it."""
+    """A claim being decided; other claims with the same key wait for it."""
 
     def __init__(self, message: holders_pb2.ClaimRequest) -> None:
-        """Start undecided.
+        """Initialize without a decision.
 
-        ``yield_to`` is the data centre that goes first; ``left`` tells that the
-        caller went away.
+        ``yield_to`` is the data centre whose crossing claim has precedence; ``left`` is
+        set once the caller has disconnected.
         """
         self.message = message
         self.done = anyio.Event()
@@ -41,10 +44,10 @@
         self.left = False
 
     def answers(self, message: holders_pb2.ClaimRequest) -> bool:
-        """Tell whether the reply answers another claim of the same key too.
+        """Tell whether the reply is also valid for another claim of the same key.
 
-        A grant doesn't: the other call attaches to it.  A refusal does not
-        where the other is a retry that would have had to ask elsewhere first.
+        A grant isn't: the other call attaches to it. A refusal isn't if the other claim is
+        a retry, for which the other data centres would have had to be queried first.
         """
         if self.reply is None or self.reply.verdict in {states.GRANTED, states.KNOWN}:
             return False
@@ -53,7 +56,7 @@
 
 
 class Decider:
-    """Decides on claims that nothing is known of here."""
+    """Decides on claims of requests that this holder does not know."""
 
     def __init__(
         self,
@@ -72,7 +75,7 @@
         self._step_factory = StepFactory(context.identity, context.clock)
 
     async def decide(self, pending: Pending) -> holders_pb2.ClaimReply | None:
-        """Return the reply, or None where the claim became known meanwhile."""
+        """Return the reply, or None if the request became known in the meantime."""
         message = pending.message
         held = self._context.budgets.held(message.account)
         if isinstance(held, NotHolder):
@@ -87,7 +90,10 @@
         return await self._reserve(pending, query_result)
 
     async def conflict(self, message: holders_pb2.ClaimRequest) -> holders_pb2.ClaimReply:
-        """Refuse another body; "not run" only where no data centre knows this one."""
+        """Refuse a key reused with another body.
+
+        The refusal says "not run" only if no data centre knows a request with this body.
+        """
         not_run = NOT_RUN
         if not message.first_attempt:
             query_result = await self._retry_querier.query_all(message, 0)
@@ -130,17 +136,17 @@
         return not message.may_repeat and self._marks_may_be_missing(held)
 
     def _marks_may_be_missing(self, held: Reserved) -> bool:
-        """Tell whether marks planted at an earlier holder may be missing here.
+        """Tell whether marks set at an earlier holder may be missing on this instance.
 
-        Failure: a first attempt is late, its retry ran elsewhere, and the holder
-        that had the mark was replaced.  Symptom: it runs twice.  So a new holder
-        takes every first attempt for a retry for as long as marks last.
+        Failure: a first attempt is delayed, its retry ran in another data centre, and the
+        holder that had the mark was replaced. Symptom: the request runs twice. So a new
+        holder treats every first attempt as a retry until all earlier marks have expired.
         """
         lasting_unix_s = held.since_unix_s + self._context.settings.mark_s
         return held.epoch > FIRST_EPOCH and self._context.now_s() < lasting_unix_s
 
     async def _recovered(self, message: holders_pb2.ClaimRequest) -> bool:
-        """Wait a little for the claims of earlier epochs to be known here."""
+        """Wait up to ``recovery_wait_s`` for the claims of earlier epochs to be recovered."""
         until_unix_s = self._context.now_s() + self._context.settings.recovery_wait_s
         until_unix_s = min(until_unix_s, message.deadline_unix_s)
         while not self._context.budgets.recovered(message.account):
@@ -173,7 +179,7 @@
         }  # fmt: skip
 
     def _given_back(self, record: holders_pb2.Record) -> bool:
-        """Tell whether what another instance has is a copy of a claim given back here."""
+        """Tell whether a record of another instance is a copy of a claim released here."""
         entry = self._table.find(record.request_key)
         if entry is None or record.data_centre != self._context.identity.data_centre:
             return False
@@ -190,7 +196,7 @@
             refusal = refusals.IDEMPOTENCY_CONFLICT.refuse(NOT_RUN if sure else RUN_UNKNOWN)
             return refusals.to_reply(refusal)
         if record.data_centre == self._context.identity.data_centre:
-            # A copy of a claim that an earlier holder of this data centre granted.
+            # The record is a copy of a claim granted by an earlier holder of this data centre.
             self._table.add(record)
             return None
         return holders_pb2.ClaimReply(verdict=states.KNOWN, record=record)
@@ -201,7 +207,7 @@
         CLAIM_YIELDED.log(request_key=message.request_key, to=data_centre)
         return holders_pb2.ClaimReply(
             verdict=states.NOT_HOLDER,
-            reason=f'the claim in {data_centre} goes first',
+            reason=f'the claim in {data_centre} has precedence',
             holder=self._context.budgets.holder_address(message.account, data_centre),
         )
 
@@ -210,8 +216,8 @@
     ) -> holders_pb2.ClaimReply | None:
         message = pending.message
         if self._seals.sealed(reserved.shard, reserved.data_centre, reserved.epoch):
-            # A holder that was paused doesn't know yet that it was followed, and
-            # whoever sealed its epoch has been told of its claims without this one.
+            # A holder that was paused doesn't know yet that another took over, and the
+            # instance that sealed its epoch got a report of its claims without this one.
             self._context.budgets.settle(message.account, message.request_key, reserved.epoch, 0)
             return _not_holder(NotHolder(states.OLD_EPOCH, ''))
         if pending.yield_to or self._known_here(message.request_key):
@@ -254,8 +260,8 @@
             unasked=query_result.unsure,
         )
         if previous is not None:
-            # Attempts are counted on, so that a late chunk of one that was
-            # withdrawn is never taken for one of the next.
+            # The attempt number continues, so that a late chunk of a withdrawn attempt is
+            # never mistaken for a chunk of the next one.
             record.attempt = previous.record.attempt
             append(record, *previous.record.steps)
         append(record, *self._table.refused.take(message.request_key))
--- a/packages/fleet/src/endivesaddle/fleet/requests/dispatching.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/dispatching.py
@@ -1,4 +1,4 @@
-"""Dispatches at the holder: one after another, and a request that may not be repeated once."""
+"""Dispatches at the holder: one at a time, and a non-repeatable request only once."""
 
 from collections.abc import Callable
 
@@ -13,21 +13,21 @@
 
 
 class Dispatcher:
-    """Accepts a dispatch like a compare-and-swap on the attempt's number.
+    """Accepts a dispatch as a compare-and-swap on the attempt number.
 
-    Two routers may serve two calls of one request: whoever notes the next
-    attempt first runs it, the other attaches.
+    Two routers may serve two calls of one request: the first to dispatch the next attempt
+    runs it, the other attaches.
     """
 
     def __init__(self, copies: Copies, sealed: Sealed) -> None:
-        """Keep copies through ``copies``; ``sealed`` tells of a record's epoch."""
+        """Replicate through ``copies``; ``sealed`` tells whether a record's epoch is sealed."""
         self._copies = copies
         self._sealed = sealed
 
     async def note(
         self, entry: Entry, message: holders_pb2.NoteRequest, held: Reserved
     ) -> holders_pb2.NoteReply:
-        """Take in a note on a request."""
+        """Apply a note to a request; the reply says whether it was accepted."""
         async with entry.lock:
             reason = await self._merge_note(entry, message, held)
         return holders_pb2.NoteReply(accepted=not reason, reason=reason)
@@ -63,7 +63,7 @@
         _apply(draft, message)
         if not await self._copies.replicate(draft):
             return states.NO_COPY
-        # The epoch may have been sealed, or the claim closed, while it was copied.
+        # The epoch may have been sealed, or the claim closed, during the replication.
         return self._rejection_reason(entry, message, held) or _apply(record, message)
 
     def _rejection_reason(
@@ -75,8 +75,8 @@
         if not entry.open or message.attempt != record.attempt + 1:
             return states.OUTRUN
         if record.state == states.DISPATCHED and not record.may_repeat:
-            # It has to be withdrawn first, which is only possible where the
-            # earlier attempt certainly did not run.
+            # The earlier attempt has to be withdrawn first, which is possible only if it
+            # certainly did not run.
             return states.OUTRUN
         return ''
 
@@ -100,10 +100,10 @@
 
 
 def _extend(record: holders_pb2.Record, message: holders_pb2.NoteRequest) -> None:
-    """Give a later attempt as long as the first had.
+    """Extend the deadline so that a later attempt gets as much time as the first.
 
-    Failure: an answer breaks, and a retry has the request run again.  Symptom: the
-    holder cancels that run at the deadline of the caller's first try.
+    Failure: an answer breaks, and a retry runs the request again. Symptom: the holder
+    cancels that run at the deadline of the caller's first attempt.
     """
     asked_s = record.deadline_unix_s - record.claimed_unix_s
     began_unix_s = max((step.at_unix_s for step in message.steps), default=0)
@@ -111,12 +111,12 @@
 
 
 def _withdraw(entry: Entry, message: holders_pb2.NoteRequest) -> str:
-    """Take a dispatch back; returns why it can't be.
+    """Withdraw a dispatch; return why that is not possible, or ''.
 
-    Failure: two routers serve two calls of a request that may not be repeated;
-    one can't reach the sidecar and goes elsewhere, the other starts it there.
-    Symptom: it runs twice.  So every call has to have withdrawn, or the sidecar to
-    have said that the attempt will not start any more, whoever sends it.
+    Failure: two routers serve two calls of a non-repeatable request; one can't reach the
+    sidecar and tries another server, the other starts the attempt. Symptom: the request
+    runs twice. So either every call must have withdrawn, or the sidecar must have confirmed
+    that it will refuse a START of this attempt from any router.
     """
     record = entry.record
     if message.attempt != record.attempt:
@@ -136,7 +136,7 @@
 
 
 def _may_run(entry: Entry, message: holders_pb2.NoteRequest) -> bool:
-    """Tell whether a withdrawn attempt may have run, or may yet."""
+    """Tell whether a withdrawn attempt may have run or may still run."""
     names = {step.name for step in message.steps}
     if states.LOST in names:
         return True
--- a/packages/fleet/src/endivesaddle/fleet/requests/granting.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/granting.py
@@ -1,4 +1,4 @@
-"""Answers to claims: one decision for each request, whoever asks and how often."""
+"""Replies to claims: one decision for each request, however many claims are sent for it."""
 
 import anyio
 
@@ -16,7 +16,7 @@
 
 
 class Granter:
-    """Answers claims; ``pending`` are those under way, by request key."""
+    """Replies to claims; ``pending`` are the undecided ones, by request key."""
 
     def __init__(
         self,
@@ -26,7 +26,7 @@
         settler: Settler,
         counters: Counters,
     ) -> None:
-        """Answer for one holder."""
+        """Reply to claims at one holder."""
         self.pending: dict[str, Pending] = {}
         self._context = context
         self._table = table
@@ -37,11 +37,11 @@
         self._step_factory = StepFactory(context.identity, context.clock)
 
     async def run(self) -> None:
-        """Carry out claims until cancelled."""
+        """Run the background decisions until cancelled."""
         await self._background.run()
 
     async def claim(self, message: holders_pb2.ClaimRequest) -> holders_pb2.ClaimReply:
-        """Grant a request, tell that it is known or waiting, or refuse it."""
+        """Grant or refuse a claim, or report that its request is known or still waiting."""
         while True:
             rejection = self._reject_if_not_holder(message)
             if rejection is not None:
@@ -54,7 +54,7 @@
                 return reply
 
     def leave(self, message: holders_pb2.SettleRequest) -> None:
-        """Learn that the caller of a claim went away while it waits."""
+        """Note that the caller of a pending claim has disconnected."""
         pending = self.pending.get(message.request_key)
         if pending is not None and message.outcome == states.REFUSED:
             pending.left = pending.left or message.call_id == pending.message.call_id
@@ -70,7 +70,7 @@
         return None
 
     def _reclaimable(self, entry: Entry) -> bool:
-        """Tell whether nothing of a claim ran, nor will, so that it may be made anew."""
+        """Tell whether a claim has not run and never will, so that a new one may replace it."""
         record = entry.record
         if record.state == states.REFUSED:
             return True
@@ -96,7 +96,10 @@
         return holders_pb2.ClaimReply(verdict=verdict, record=record)
 
     async def _wait_for(self, message: holders_pb2.ClaimRequest) -> holders_pb2.ClaimReply | None:
-        """Wait for a new claim, own or of another call; None: look at the table again."""
+        """Wait for the decision on this claim or on a pending one with the same key.
+
+        Returns None if the table has to be read again.
+        """
         pending = self.pending.get(message.request_key)
         joined = pending is not None
         if pending is None:
@@ -114,8 +117,8 @@
         return pending
 
     async def _decide(self, pending: Pending) -> None:
-        # In a task of its own: a router whose link breaks asks again and finds
-        # its place in the budget's queue kept.
+        # The decision has a task of its own, so that a router whose connection breaks keeps
+        # its place in the budget's queue when it sends the claim again.
         try:
             pending.reply = await self._decider.decide(pending)
             self._release_left(pending)
@@ -127,14 +130,14 @@
             self._remember(pending.message, pending.reply)
 
     def _remember(self, message: holders_pb2.ClaimRequest, reply: holders_pb2.ClaimReply) -> None:
-        """Remember what a caller is told of a refused claim, which leaves no entry."""
+        """Record the refusal of a claim, which leaves no entry in the table."""
         if reply.verdict == states.REFUSED:
             step = self._step_factory.step(states.TOLD, 0, f'{reply.code}: {reply.reason}')
             data_centre = self._context.identity.data_centre
             self._table.refused.add(refused_record(message, reply, step, data_centre))
 
     def _release_left(self, pending: Pending) -> None:
-        """Release a claim at once whose caller went away while it was waiting."""
+        """Release a claim at once if its caller disconnected while it was pending."""
         entry = self._table.find(pending.message.request_key)
         if pending.left and entry is not None and entry.calls == {pending.message.call_id}:
             self._settler.close_not_run(entry, 'the caller left')
--- a/packages/fleet/src/endivesaddle/fleet/requests/holder_client.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/holder_client.py
@@ -14,20 +14,20 @@
 from endivesaddle.wire import holders_pb2, rpcs
 
 MAX_ADDRESSES = 4
-"""How often a call is sent on to another holder."""
+"""Addresses tried for one call, redirects included."""
 MAX_ROUNDS = 3
-"""How often all holders are tried before a claim is given up."""
+"""How often all holders are tried before a claim is refused."""
 
 
 class HolderClient:
-    """Finds the holder of an account and calls it until it has answered."""
+    """Finds the holder of an account and calls it until it answers."""
 
     def __init__(self, context: Context) -> None:
-        """Call in the name of one router."""
+        """Initialize for the calls of one router."""
         self._context = context
 
     async def claim(self, call: Call) -> holders_pb2.ClaimReply | Refusal:
-        """Claim a request at a holder; sent again with the same key until answered."""
+        """Claim a request at a holder, repeating the claim with the same key until answered."""
         for _ in range(MAX_ROUNDS):
             for address in self._holders(call):
                 reply = await self._claim_at(call, address)
@@ -36,7 +36,7 @@
             if self._context.now_s() >= call.request.deadline_unix_s:
                 break
             await anyio.sleep(self._context.settings.retry_pause_s)
-        # Where a claim's reply was lost it may have been granted, and a retry of
+        # If the reply to a claim was lost, the claim may have been granted, and a retry of
         # the caller may have attached to it and run it.
         not_run = NOT_RUN if call.first_attempt else RUN_UNKNOWN
         if self._context.now_s() >= call.request.deadline_unix_s:
@@ -44,14 +44,14 @@
         return refusals.NO_HOLDER.refuse(not_run)
 
     async def note(self, call: Call, message: holders_pb2.NoteRequest) -> str:
-        """Note something at the holder of the claim; return why it was not accepted."""
+        """Send a note to the holder of the claim; return why it was rejected, or ''."""
         address = self.settling_address(call.record)
         for _ in range(MAX_ADDRESSES):
             if not address:
                 break
             reply = await self._try(address, rpcs.NOTE, message, call.request.deadline_unix_s)
             if reply is None:
-                # A note is idempotent, and its reply decides: ask once more.
+                # The reply decides how the call goes on, and a note is idempotent: retry once.
                 reply = await self._try(address, rpcs.NOTE, message, call.request.deadline_unix_s)
             if reply is None:
                 break
@@ -61,7 +61,7 @@
         return states.NO_RECORD
 
     async def settle(self, message: holders_pb2.SettleRequest) -> holders_pb2.SettleReply | None:
-        """Settle at the holder of the claim; None when none answered."""
+        """Settle at the holder of the claim; return None if no holder answered."""
         address = self._context.budgets.holder_address(message.account, message.data_centre)
         for _ in range(MAX_ADDRESSES):
             if not address:
@@ -78,7 +78,7 @@
         return self._context.budgets.holder_address(record.account, record.data_centre)
 
     async def copy(self, record: holders_pb2.Record) -> bool:
-        """Have any other router keep a copy of a record."""
+        """Store a copy of a record on any other router; return whether one accepted it."""
         routers = [member.address for member in self._context.view.members('router')]
         for address in rendezvous(record.request_key, routers)[:MAX_ADDRESSES]:
             if address == self._context.identity.address:
@@ -91,7 +91,7 @@
         return False
 
     def _holders(self, call: Call) -> Iterator[str]:
-        """Yield the holders to claim at: of this data centre, then of the others."""
+        """Yield the addresses to claim at: the holder of this data centre, then the others."""
         own = self._context.identity.data_centre
         regions = self._context.view.configuration.data_centres
         ordered = rendezvous(call.request.key, self._context.other_data_centres())
@@ -112,10 +112,10 @@
         return None
 
     async def _claim_once(self, call: Call, address: str) -> holders_pb2.ClaimReply | None:
-        """Claim at one holder; None where it is out of reach.
+        """Claim at one holder; return None if it can't be reached.
 
-        A claim may rightly wait there for headroom until the caller's deadline; it
-        then answers "waiting" at once, so that a silent link is noticed.
+        A claim may wait there for headroom until the caller's deadline. The holder then
+        replies "waiting" after ``claim_wait_s``, so that a silent connection is noticed.
         """
         silent_unix_s = self._context.now_s() + self._context.settings.lost_after_s
         while self._context.now_s() < min(call.request.deadline_unix_s, silent_unix_s):
--- a/packages/fleet/src/endivesaddle/fleet/requests/record_merger.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/record_merger.py
@@ -1,4 +1,4 @@
-"""What ran under sealed epochs, taken in by the holder that follows."""
+"""Merging of records from sealed epochs into the table of the next holder."""
 
 from endivesaddle.fleet.requests import states
 from endivesaddle.fleet.requests.settling import Settler
@@ -12,12 +12,12 @@
     """Merges reports of routers and sidecars into the table."""
 
     def __init__(self, table: Table, settler: Settler) -> None:
-        """Take records into ``table``; bill what has ended."""
+        """Merge records into ``table`` and bill ended ones through ``settler``."""
         self._table = table
         self._settler = settler
 
     def merge(self, record: holders_pb2.Record) -> None:
-        """Take in one record; several instances may report the same request."""
+        """Merge one record; several instances may report the same request."""
         entry = self._table.find(record.request_key)
         if entry is not None and _is_superseded(entry, record):
             self._settler.release(entry)
@@ -25,8 +25,8 @@
         elif entry is None or _is_newer(record, entry.record):
             self._replace(entry, record)
         elif entry.record.epoch > record.epoch and _may_be_billed(record):
-            # Granted anew before the report came: the older run was counted when
-            # its epoch was sealed, and a request is billed once.
+            # The request was granted again before the report arrived. The older run was
+            # counted when its epoch was sealed, and a request is billed once.
             entry.billed_elsewhere = True
 
     def _replace(self, entry: Entry | None, record: holders_pb2.Record) -> None:
@@ -39,12 +39,12 @@
 
 
 def _is_superseded(entry: Entry, record: holders_pb2.Record) -> bool:
-    """Tell whether a claim of an old epoch gives way to one that was granted anew since.
+    """Tell whether a claim of an old epoch is superseded by one granted since.
 
-    Failure: a holder was frozen with a claim open; another granted the request anew
-    and has its answer; the first woke and holds the shard again.  Symptom: it kept
-    its own claim, ran the request a second time for the next retry, or billed the
-    worst case at the deadline besides the bill that was settled.
+    Failure: a holder is paused with a claim open, another grants the request again and has
+    its answer, then the first resumes and holds the shard again. Symptom: it keeps its own
+    claim and runs the request a second time for the next retry, or bills the worst case at
+    the deadline in addition to the settled bill.
     """
     known = entry.record
     if record.epoch <= known.epoch or not entry.open:
@@ -56,8 +56,8 @@
 def _may_be_billed(record: holders_pb2.Record) -> bool:
     """Tell whether a record of an older epoch has or may get a bill of its own.
 
-    An attempt that failed gets none where a later one answered; taken for billed,
-    the answer's own bill gave way to it, and the request was billed 0.
+    A failed attempt gets none if a later one gave the answer. If it counted as billed, the
+    bill of the answer would be dropped in its favour and the request billed 0 tokens.
     """
     if record.state == states.ENDED:
         return record.outcome != states.FAILED
--- a/packages/fleet/src/endivesaddle/fleet/requests/retry_marks.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/retry_marks.py
@@ -1,9 +1,9 @@
-"""Marks that the question of a retry plants in the other data centres.
+"""Request keys about which another data centre has sent a retry query.
 
-Failure: a first attempt is held up on its way, its caller retries elsewhere, and
-the first attempt then arrives.  Symptom: the request runs twice.  A mark makes
-the holder ask the other data centres before it grants the first attempt, just
-as for a retry; they then know of the run.
+Failure: a first attempt is delayed in transit, its caller retries in another data centre,
+and the first attempt then arrives. Symptom: the request runs twice. A mark makes the holder
+query the other data centres before it grants the first attempt, as it does for a retry;
+they know of the run by then.
 """
 
 import heapq
@@ -12,10 +12,10 @@
 
 
 class RetryMarks:
-    """Request keys that were asked about, until a stored deadline."""
+    """Marked request keys, each with the time at which its mark expires."""
 
     def __init__(self, clock: Clock) -> None:
-        """Start empty."""
+        """Initialize with no marks."""
         self._clock = clock
         self._until: dict[str, float] = {}
         self._schedule: list[tuple[float, str]] = []
@@ -25,7 +25,7 @@
         return len(self._until)
 
     def add(self, request_key: str, until_unix_s: float) -> None:
-        """Mark a key; a later deadline wins."""
+        """Mark a key; of two expiry times the later one counts."""
         if until_unix_s <= self._until.get(request_key, 0):
             return
         self._until[request_key] = until_unix_s
@@ -36,7 +36,7 @@
         return self._until.get(request_key, 0) > self._clock.now_s()
 
     def sweep(self) -> None:
-        """Forget marks whose deadline has passed."""
+        """Remove the marks that have expired."""
         now_unix_s = self._clock.now_s()
         while self._schedule and self._schedule[0][0] <= now_unix_s:
             request_key = heapq.heappop(self._schedule)[1]
--- a/packages/fleet/src/endivesaddle/fleet/requests/retry_queries.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/retry_queries.py
@@ -1,4 +1,4 @@
-"""The question of a possible retry to the holders of all other data centres."""
+"""Queries to the holders of all other data centres about a possible retry."""
 
 from typing import NamedTuple
 
@@ -10,15 +10,15 @@
 from endivesaddle.wire import holders_pb2, rpcs
 
 MAX_REDIRECTS = 3
-"""How often a question is sent on to another holder of the same data centre."""
+"""Holders that are tried in one data centre for one query, redirects included."""
 
 
 class RetryQueryResult(NamedTuple):
-    """What the other data centres said.
+    """The combined replies of the other data centres.
 
-    ``known`` is the record of a run or claim elsewhere; ``yield_to`` the data
-    centre whose crossing claim goes first; ``unsure`` lists the data centres
-    that could not say.
+    ``known`` is the record of a run or claim in another data centre, ``yield_to`` the data
+    centre whose crossing claim has precedence, and ``unsure`` lists the data centres that
+    gave no certain reply.
     """
 
     known: holders_pb2.Record | None = None
@@ -27,14 +27,14 @@
 
 
 class RetryQuerier:
-    """Asks the holders of an account in other data centres about a request."""
+    """Queries the holders of an account in other data centres about a request."""
 
     def __init__(self, context: Context) -> None:
-        """Ask in the name of one instance."""
+        """Initialize for the queries of one instance."""
         self._context = context
 
     async def query_all(self, claim: holders_pb2.ClaimRequest, epoch: int) -> RetryQueryResult:
-        """Ask all other data centres at once, before a claim is granted."""
+        """Query all other data centres concurrently, before a claim is granted."""
         others = self._context.other_data_centres()
         query = holders_pb2.AskRequest(
             request_key=claim.request_key,
@@ -48,7 +48,7 @@
     async def query_each(
         self, query: holders_pb2.AskRequest, data_centres: list[str]
     ) -> dict[str, holders_pb2.AskReply]:
-        """Ask some data centres at once; one that can't be asked is left out."""
+        """Query some data centres concurrently; those without a reply are left out."""
         query.data_centre = self._context.identity.data_centre
         query.mark_until_unix_s = self._context.now_s() + self._context.settings.mark_s
         replies: dict[str, holders_pb2.AskReply] = {}
@@ -79,10 +79,10 @@
 
 
 def _is_stale(record: holders_pb2.Record, replies: dict[str, holders_pb2.AskReply]) -> bool:
-    """Tell whether a copy is overtaken: its own holder knows that nothing runs.
+    """Tell whether a copy is outdated: the holder of its claim knows that nothing runs.
 
-    Failure: a dispatch was copied, then refused and given back.  Symptom: a retry
-    that believes the copy starts it under a reservation that is no more.
+    Failure: a dispatch was copied, then refused, and its claim released. Symptom: a retry
+    that relies on the copy starts a run under a reservation that no longer exists.
     """
     own = replies.get(record.data_centre)
     return own is not None and own.verdict == states.MARKED
@@ -96,8 +96,8 @@
         for name, reply in replies.items()
         if reply.verdict == states.KNOWN and not _is_stale(reply.record, replies)
     ]
-    # The holder that granted the claim knows more of it than one with a copy, and
-    # one that has this very body matters more than one whose key clashes.
+    # A record with the same body takes precedence over one whose key conflicts, and the
+    # record of the holder that granted the claim over a copy, which may be older.
     known.sort(key=lambda found: (found[1].digest != digest, found[0] != found[1].data_centre))
     yields = [name for name, reply in replies.items() if reply.verdict == states.YIELD]
     certain = {name for name, reply in replies.items() if reply.verdict != states.UNSURE}
--- a/packages/fleet/src/endivesaddle/fleet/requests/sealed_epochs.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/sealed_epochs.py
@@ -1,4 +1,4 @@
-"""Epochs that are sealed here: nothing is granted or dispatched under them any more."""
+"""Epochs sealed on this instance: nothing more is granted or dispatched under them."""
 
 from collections.abc import Iterable, Sequence
 
@@ -6,16 +6,16 @@
 
 
 class SealedEpochs:
-    """The lowest epoch that may still grant, by shard and data centre."""
+    """The lowest epoch that is not sealed, by shard and data centre."""
 
     def __init__(self) -> None:
-        """Start with nothing sealed."""
+        """Initialize with no epoch sealed."""
         self._lowest: dict[tuple[int, str], int] = {}
 
     def seal(
         self, message: holders_pb2.SealRequest, records: Iterable[holders_pb2.Record]
     ) -> Sequence[holders_pb2.Record]:
-        """Seal epochs and return the records that were made under them."""
+        """Seal epochs and return the records of claims granted under them."""
         place = (message.shard, message.data_centre)
         self._lowest[place] = max(self._lowest.get(place, 0), message.below_epoch)
         return [
@@ -33,5 +33,5 @@
         return self.sealed(record.shard, record.data_centre, record.epoch)
 
     def dump(self) -> dict[str, int]:
-        """Return the lowest epochs by shard and data centre."""
+        """Return the lowest unsealed epochs, by shard and data centre."""
         return {f'{shard}/{name}': epoch for (shard, name), epoch in self._lowest.items()}
--- a/packages/fleet/src/endivesaddle/fleet/requests/sweeping.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/sweeping.py
@@ -1,4 +1,4 @@
-"""What a holder does without being asked: close, resolve and forget claims."""
+"""Periodic work of a holder: closing, resolving and expiring claims."""
 
 import enum
 
@@ -21,11 +21,11 @@
 
 SWEEP_S = 0.5
 MISSING_DATA_CENTRE_KEEP_S = 60.0
-"""How much longer a request is remembered while a data centre is out of view."""
+"""Added to the time a request is remembered while a data centre is not visible."""
 
 
 class Sweeper:
-    """Looks at each claim when its stored deadline has come."""
+    """Checks each claim when its scheduled time has come."""
 
     def __init__(
         self, context: Context, table: Table, settler: Settler, retry_querier: RetryQuerier
@@ -65,12 +65,13 @@
             self._check_run(entry)
 
     def _defer_to_holder(self, entry: Entry) -> None:
-        """Leave an open claim to whoever holds the shard now.
+        """Leave an open claim to the current holder of the shard.
 
-        Failure: a holder was frozen, was followed, and wakes.  Symptom: it closes its
-        old claim by the worst case, beside the bill of the same request, which its
-        successor had granted anew.  The successor, or this instance when it holds the
-        shard again, learns of all claims before it closes any.
+        Failure: a holder is paused, another takes over its shard, and it resumes.
+        Symptom: it bills the worst case for its old claim, in addition to the bill of the
+        same request under the claim that its successor granted. Deferring is enough: the
+        successor, or this instance once it holds the shard again, learns of all claims
+        before it closes any.
         """
         record = entry.record
         settings = self._context.settings
@@ -85,16 +86,16 @@
         if self._settler.report_deadline_passed(record) or self._is_replaced(record):
             self._close(entry)
         elif self._context.now_s() < record.deadline_unix_s:
-            # Given up by its router, but the sidecar may still be running it.
+            # Its router gave up on the run, but the sidecar may still be running it.
             self._reschedule(record)
         else:
             self._background.start(self._query_sidecar, entry)
 
     def _close(self, entry: Entry) -> None:
-        """Bill what nobody reported, as soon as the store has confirmed who holds it.
+        """Bill an unreported claim once the store has confirmed that this instance holds it.
 
-        A holder that was frozen doesn't know at first that it was followed, nor, when it
-        holds the shard again, what was billed meanwhile; see ``_defer_to_holder``.
+        A holder that was paused doesn't know at first that another took over, nor, once it
+        holds the shard again, what was billed in between; see ``_defer_to_holder``.
         """
         record = entry.record
         budgets = self._context.budgets
@@ -109,7 +110,7 @@
         self._table.schedule(record.request_key, again_unix_s)
 
     def _is_replaced(self, record: holders_pb2.Record) -> bool:
-        """Tell whether the sidecar was restarted: it has forgotten the run."""
+        """Tell whether the sidecar was restarted and has therefore lost the run."""
         for member in self._context.view.members('sidecar'):
             if member.address == record.sidecar:
                 return record.sidecar_incarnation not in {0, member.incarnation}
@@ -133,20 +134,21 @@
             self._table.schedule(record.request_key, due_unix_s)
 
     def _data_centre_missing(self) -> bool:
-        """Tell whether a data centre is out of view.
+        """Tell whether no live router of some data centre is visible.
 
-        Failure: a retry ran there provisionally, and asks only when the partition
-        heals.  Symptom: what ran here is forgotten by then, and billed twice.
+        Failure: a retry ran there provisionally, and its holder sends its query only when
+        the partition heals. Symptom: the run on this side is forgotten by then, and the
+        request is billed twice.
         """
         routers = self._context.view.members('router')
         seen = {member.data_centre for member in routers if member.state == 'live'}
         return not seen.issuperset(self._context.other_data_centres())
 
     async def _query_sidecar(self, entry: Entry) -> None:
-        """Ask the sidecar of a run that nobody reported whether it ever started.
+        """Query the sidecar of an unreported run whether the run ever started.
 
-        The deadline has passed, so it must stop anyway: a cancel does no harm,
-        and the sidecar refuses a start that comes after it.
+        The query is a CANCEL. It does no harm, since the deadline has passed and the run
+        has to stop anyway, and the sidecar refuses a START that arrives after it.
         """
         record = entry.record
         message = runs_pb2.CancelRequest(
@@ -171,7 +173,7 @@
         self._reschedule(record)
 
     async def _resolve(self, entry: Entry) -> None:
-        """Ask the data centres that could not be asked before a provisional run."""
+        """Query the data centres that could not be reached before a provisional run."""
         record = entry.record
         own = self._context.identity.data_centre
         query = holders_pb2.AskRequest(
@@ -214,10 +216,10 @@
         return not _may_end_not_run(record, reply.record)
 
     def _is_billed_elsewhere(self, own: holders_pb2.Record, other: holders_pb2.Record) -> bool:
-        """Tell whether a record elsewhere bills the request, so that this one must not.
+        """Tell whether another data centre bills the request, so that this one must not.
 
-        Both sides of a partition may have run it; a bill with the lower standing
-        gives way, and of two alike the same fixed order decides on both sides.
+        Both sides of a partition may have run it. The more certain bill stands; between
+        two equally certain ones, both sides decide by the same fixed order.
         """
         if other.data_centre in {'', own.data_centre} or other.state == states.REFUSED:
             return False
@@ -233,10 +235,11 @@
 
 
 def _may_end_not_run(own: holders_pb2.Record, other: holders_pb2.Record) -> bool:
-    """Tell whether another data centre has a claim that may yet end as not run.
+    """Tell whether another data centre has an open claim that may yet end without a run.
 
-    Failure: a paused router dispatched there and never sent it.  Symptom: this run
-    gives way to a bill that never comes, and an answered request costs nothing.
+    Failure: a router in that data centre is paused between the dispatch and the START.
+    Symptom: this run is not billed in favour of a bill that never comes, and an answered
+    request costs nothing.
     """
     if other.data_centre in {'', own.data_centre}:
         return False
@@ -244,7 +247,7 @@
 
 
 class Standing(enum.IntEnum):
-    """How certain a bill is; the lower one stays."""
+    """How certain a bill is; of two bills the one with the lower value stands."""
 
     CERTAIN = 0
     REPORTED = 1
@@ -252,7 +255,7 @@
 
 
 def _standing(record: holders_pb2.Record, asked: str) -> Standing:
-    """Return the standing of a bill towards another data centre."""
+    """Return how certain a bill is with respect to another data centre."""
     if asked not in record.unasked:
         return Standing.CERTAIN
     return Standing.PROVISIONAL if record.provisional else Standing.REPORTED
