--- a/features/subjects/homes.py
+++ b/features/subjects/homes.py
@@ -8,7 +8,7 @@
 from endivesaddle.fleet.ports import Stored
 from endivesaddle.fleet.routes.forwarded import ForwardRequest
 from endivesaddle.fleet.routes.known import Known
-from endivesaddle.fleet.routing.dispatcher import Dispatcher, Place
+from endivesaddle.fleet.routing.dispatcher import Dispatcher, Placement
 from endivesaddle.fleet.sentinels import Refusal
 from subjects.links_loop import ScenarioLoop
 from subjects.users_platform import CONFIG, ENTRY, NODE, ROUTE, module, read_node
@@ -34,7 +34,7 @@
             entry = {**ENTRY, 'zone': name, 'address': f'10.0.{number}.1:80'}
             stored = Stored(f'servers/{name}', msgspec.json.encode(entry), 1)
             self._known.server(self._decoder.server(stored, 0), 'test')
-        self.outcomes: list[Place | Refusal] = []
+        self.outcomes: list[Placement | Refusal] = []
 
     def close(self) -> None:
         """End the loop."""
@@ -61,8 +61,8 @@
 
     def regions(self) -> set[str]:
         """Return the regions in which requests were placed."""
-        places = [outcome for outcome in self.outcomes if isinstance(outcome, Place)]
-        return {REGIONS[place.backend.server.data_centre] for place in places}
+        placements = [outcome for outcome in self.outcomes if isinstance(outcome, Placement)]
+        return {REGIONS[placement.backend.server.data_centre] for placement in placements}
 
     async def _place(self, number: int) -> None:
         book = self._known.book
@@ -84,7 +84,7 @@
             last_event=-1,
             began_unix_s=self._clock.now_s(),
         )
-        place = await self._dispatcher.place(request, frozenset())
-        if isinstance(place, Place):
-            place.begin()
-        self.outcomes.append(place)
+        placement = await self._dispatcher.place(request, frozenset())
+        if isinstance(placement, Placement):
+            placement.start()
+        self.outcomes.append(placement)
--- a/features/subjects/store_relay.py
+++ b/features/subjects/store_relay.py
@@ -27,7 +27,7 @@
 from endivesaddle.fleet.routes.remote_store import RemoteStore, answer_store
 from endivesaddle.fleet.routes.reservation import Reservation
 from endivesaddle.fleet.routing.backends import Backend, ForwardWant
-from endivesaddle.fleet.routing.dispatcher import Place
+from endivesaddle.fleet.routing.dispatcher import Placement
 from endivesaddle.fleet.sentinels import Refusal
 from endivesaddle.stand_ins.memory_peers import Fault, MemoryNet
 from endivesaddle.stand_ins.memory_store import MemoryStore
@@ -183,7 +183,7 @@
         self.in_vain[router] += made.path == SHARED and made.outcome == 'unreachable'
 
     async def _begin(self, router: int, want: ForwardWant) -> None:
-        Place(self.routers[router].dispatcher, self.backends()[router], want).begin()
+        Placement(self.routers[router].dispatcher, self.backends()[router], want).start()
 
     async def _holds(self, backend: Backend) -> bool:
         return backend.has_part(SHARED_PART, self._clock.now_s())
--- a/packages/backend_servers/src/endivesaddle/backend_servers/forward_calls.py
+++ b/packages/backend_servers/src/endivesaddle/backend_servers/forward_calls.py
@@ -85,7 +85,7 @@
         """
         request = call.request
         headers = self._headers(call)
-        sent = Forwarded(request.method, request.target, headers, request.body, call.admitted)
+        sent = Forwarded(request.method, request.target, headers, request.body, call.may_send)
         server = call.server
         async with self.links.exchange(server.lifetime, server.address, sent) as response:
             answer = KeptAnswer(response, call, self._header_names)
--- a/packages/backend_servers/src/endivesaddle/backend_servers/kept_links.py
+++ b/packages/backend_servers/src/endivesaddle/backend_servers/kept_links.py
@@ -29,14 +29,14 @@
 class Forwarded(NamedTuple):
     """A request as it is sent: target and headers are bytes as they came.
 
-    ``admitted`` is asked right before: does the server still take requests?
+    ``may_send`` is asked right before: does the server still take requests?
     """
 
     method: str
     target: str
     headers: RawHeaders
     body: bytes
-    admitted: Callable[[], bool]
+    may_send: Callable[[], bool]
 
     def encoded(self) -> bytes:
         """Return its bytes; raises ``NeverSent`` for a header that would end its line early."""
@@ -77,7 +77,7 @@
             # Looked at again when the connection is there, which may take a second.
             # Failure: the server was chosen in time, left or asked for nothing meanwhile, and
             # got the request up to 1 s after it should have had none.
-            if not request.admitted():
+            if not request.may_send():
                 raise ServerLeft('the server takes no more requests')
             response = connection.send(encoded, request.method == BODILESS)
             await response.head()
--- a/packages/fleet/src/endivesaddle/fleet/routes/carrying.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/carrying.py
@@ -21,7 +21,7 @@
     Sink,
 )
 from endivesaddle.fleet.routes.progress import Progress
-from endivesaddle.fleet.routing.dispatcher import Dispatcher, Place
+from endivesaddle.fleet.routing.dispatcher import Dispatcher, Placement
 from endivesaddle.fleet.sentinels import HAS_RUN, NOT_RUN, RUN_UNKNOWN, Refusal
 
 LEAST_LEFT_S = 0.02
@@ -89,14 +89,14 @@
     async def run(self) -> None:
         """Send it until it is answered or nothing more can be done."""
         while True:
-            place = await self._parts.dispatcher.place(self.request, frozenset(self._tried))
-            if isinstance(place, Refusal):
-                await self._give_up(place)
+            placement = await self._parts.dispatcher.place(self.request, frozenset(self._tried))
+            if isinstance(placement, Refusal):
+                await self._give_up(placement)
                 return
-            self._tried.add(place.backend.server.lifetime)
-            self._at = place.backend.server
+            self._tried.add(placement.backend.server.lifetime)
+            self._at = placement.backend.server
             self._sent_unix_s = self._parts.clock.now_s()
-            outcome = await self._send(place)
+            outcome = await self._send(placement)
             self._at = None
             if outcome is Outcome.DONE or not await self._again(outcome):
                 return
@@ -111,64 +111,64 @@
         told = (RUN_UNKNOWN, GATEWAY_TIMEOUT) if self._progress.runs else (NOT_RUN, UNAVAILABLE)
         await refuse(self.request, self._sink, Refusal('deadline', 'the time is over', *told))
 
-    async def _send(self, place: Place) -> Outcome:
+    async def _send(self, placement: Placement) -> Outcome:
         """Send it to one server and pass on what comes."""
         request = self.request
-        server = place.backend.server
-        call = self._call(place)
+        server = placement.backend.server
+        call = self._call(placement)
         events.PLACED.log(
             request_id=request.request_id,
             server=server.lifetime,
             sending=len(self._tried),
-            unread_tokens=place.unread_tokens,
-            in_flight=place.backend.in_flight,
-            reading_tokens=place.backend.prefilling_tokens,
-            servers_heard_s=self._parts.dispatcher.servers_heard_s(),
+            unread_tokens=placement.uncached_tokens,
+            in_flight=placement.backend.in_flight,
+            reading_tokens=placement.backend.prefilling_tokens,
+            servers_heard_s=self._parts.dispatcher.server_list_age_s(),
         )
-        place.begin()
+        placement.start()
         self._progress.sent()
         well = False
         try:
             async with self._parts.links.exchange(call) as answer:
-                outcome = await self._answered(place, answer)
+                outcome = await self._answered(placement, answer)
                 well = outcome in {Outcome.DONE, Outcome.DECLINED}
                 return outcome
         except ServerLeft as error:
             self._progress.not_run()
             well = True
-            return self._failed(place, Outcome.NOT_SENT, str(error))
+            return self._failed(placement, Outcome.NOT_SENT, str(error))
         except NeverSent as error:
             self._progress.not_run()
-            place.silent(isinstance(error, ServerRefused))
-            return self._failed(place, Outcome.NOT_SENT, str(error))
+            placement.mark_unreachable(isinstance(error, ServerRefused))
+            return self._failed(placement, Outcome.NOT_SENT, str(error))
         except ServerLost as error:
-            return await self._lost(place, str(error))
+            return await self._lost(placement, str(error))
         finally:
-            place.end(well)
+            placement.finish(well)
 
-    async def _lost(self, place: Place, reason: str) -> Outcome:
+    async def _lost(self, placement: Placement, reason: str) -> Outcome:
         """Learn from a run that broke whether its server ended, and under which request."""
-        outcome = self._failed(place, Outcome.LOST, reason)
-        server = place.backend.server
+        outcome = self._failed(placement, Outcome.LOST, reason)
+        server = placement.backend.server
         if await self._parts.crashes.broke(self.request.digest(), server, self._sent_unix_s):
-            place.silent(ended=True)
+            placement.mark_unreachable(process_ended=True)
         return outcome
 
-    def _call(self, place: Place) -> ServerCall:
+    def _call(self, placement: Placement) -> ServerCall:
         last_event = self._progress.last_event
         request = self.request
         return ServerCall(
             request,
-            place.backend.server,
+            placement.backend.server,
             request.end_unix_s,
             last_event,
-            place.admitted,
+            placement.may_send,
         )
 
-    def _failed(self, place: Place, outcome: Outcome, reason: str) -> Outcome:
+    def _failed(self, placement: Placement, outcome: Outcome, reason: str) -> Outcome:
         events.SENDING_FAILED.log(
             request_id=self.request.request_id,
-            server=place.backend.server.lifetime,
+            server=placement.backend.server.lifetime,
             outcome=outcome.value,
             events=self._progress.events,
             # Tells which attempts are the same request: each has an id of its own.
@@ -177,27 +177,29 @@
         )
         return outcome
 
-    async def _answered(self, place: Place, answer: ServerAnswer) -> Outcome:
+    async def _answered(self, placement: Placement, answer: ServerAnswer) -> Outcome:
         if answer.misdirected:
             self._progress.not_run()
-            place.misdirected()
-            return self._failed(place, Outcome.DECLINED, 'another server has the address')
-        place.told(answer)
+            placement.mark_misdirected()
+            return self._failed(placement, Outcome.DECLINED, 'another server has the address')
+        placement.apply_signals(answer)
         if answer.declined:
             self._progress.not_run()
-            place.declined()
-            return self._failed(place, Outcome.DECLINED, f'declined with {answer.status}')
+            placement.count_declined()
+            return self._failed(placement, Outcome.DECLINED, f'declined with {answer.status}')
         if not answer.own:
-            return self._failed(place, Outcome.LOST, 'the answer of another request')
+            return self._failed(placement, Outcome.LOST, 'the answer of another request')
         if answer.status in SUCCESSES and not answer.sealed:
-            return self._failed(place, Outcome.LOST, 'a success that the server does not vouch for')
+            return self._failed(
+                placement, Outcome.LOST, 'a success that the server does not vouch for'
+            )
         if self.request.route.streamed and answer.status in SUCCESSES:
-            return await self._stream(place, answer)
-        return await self._pass_whole(place, answer)
+            return await self._stream(placement, answer)
+        return await self._pass_whole(placement, answer)
 
-    async def _stream(self, place: Place, answer: ServerAnswer) -> Outcome:
+    async def _stream(self, placement: Placement, answer: ServerAnswer) -> Outcome:
         async for event in answer.events():
-            place.began()
+            placement.first_event()
             if not self._progress.fresh(event):
                 continue
             if not self._progress.started:
@@ -208,19 +210,19 @@
         if not self._progress.started:
             await self._sink.start(answer.status, answer.headers)
         await self._sink.finish()
-        self._log_answered(place, answer.status)
+        self._log_answered(placement, answer.status)
         return Outcome.DONE
 
-    async def _pass_whole(self, place: Place, answer: ServerAnswer) -> Outcome:
+    async def _pass_whole(self, placement: Placement, answer: ServerAnswer) -> Outcome:
         body = await answer.whole()
         whole = Whole(answer.status, answer.headers, body)
         if answer.status >= FAILURES:
             if self._progress.started or answer.status in PROMISES:
-                return self._failed(place, Outcome.LOST, f'it answered {answer.status}')
+                return self._failed(placement, Outcome.LOST, f'it answered {answer.status}')
             self._kept = whole
-            return self._failed(place, Outcome.FAILED, f'it answered {answer.status}')
+            return self._failed(placement, Outcome.FAILED, f'it answered {answer.status}')
         await self._pass_on(whole)
-        self._log_answered(place, whole.status)
+        self._log_answered(placement, whole.status)
         return Outcome.DONE
 
     async def _pass_on(self, whole: Whole) -> None:
@@ -235,7 +237,7 @@
         request_id = self.request.request_id
         if reason:
             events.NOT_SENT_AGAIN.log(request_id=request_id, outcome=outcome.value, reason=reason)
-            await self._give_up(self._parts.dispatcher.full(self.request, reason))
+            await self._give_up(self._parts.dispatcher.refuse_overloaded(self.request, reason))
             return False
         events.SENT_AGAIN.log(
             request_id=request_id,
@@ -249,13 +251,13 @@
         request = self.request
         if outcome in {Outcome.FAILED, Outcome.LOST} and not request.route.repeatable:
             return 'it may have run and can not be repeated'
-        if self._parts.dispatcher.held(request) is not None:
+        if self._parts.dispatcher.check_held_back(request) is not None:
             return 'servers ended while they ran it'
         if self._progress.runs >= request.route.max_attempts:
             return f'it ran on {self._progress.runs} servers'
         if request.end_unix_s - self._parts.clock.now_s() < LEAST_LEFT_S:
             return 'too little time is left'
-        if outcome is not Outcome.NOT_SENT and not self._parts.dispatcher.may_repeat(request):
+        if outcome is not Outcome.NOT_SENT and not self._parts.dispatcher.may_retry(request):
             return 'the share of repeats is used up'
         return ''
 
@@ -280,14 +282,14 @@
             request_id=self.request.request_id, events=self._progress.events, reason=reason
         )
 
-    def _log_answered(self, place: Place, status: int) -> None:
+    def _log_answered(self, placement: Placement, status: int) -> None:
         now_unix_s = self._parts.clock.now_s()
         if status in SUCCESSES:
-            self._parts.dispatcher.answered(self.request)
+            self._parts.dispatcher.record_success(self.request)
         first_s = (self._first_unix_s or now_unix_s) - self.request.began_unix_s
         events.ANSWERED.log(
             request_id=self.request.request_id,
-            server=place.backend.server.lifetime,
+            server=placement.backend.server.lifetime,
             status=status,
             events=self._progress.events,
             first_s=round(first_s, 4),
--- a/packages/fleet/src/endivesaddle/fleet/routes/forwarded.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/forwarded.py
@@ -88,14 +88,14 @@
     """One sending of a request to one server.
 
     ``last_event`` is the number of the last event that the caller has, -1 for none;
-    ``admitted`` tells whether the server takes requests at that moment.
+    ``may_send`` tells whether the server takes requests at that moment.
     """
 
     request: ForwardRequest
     server: RouteServer
     end_unix_s: float
     last_event: int
-    admitted: Callable[[], bool]
+    may_send: Callable[[], bool]
 
 
 class ServerAnswer(Protocol):
--- a/packages/fleet/src/endivesaddle/fleet/routes/neighbours.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/neighbours.py
@@ -93,7 +93,7 @@
         self._facts = Facts(parts.known, parts.contact, parts.directory, clock)
         self._declarations = DeclarationsFetch(parts.known, parts.contact, parts.decoder)
         self._large = anyio.Event()
-        parts.dispatcher.large_listeners.append(self._sent_large)
+        parts.dispatcher.large_prompt_listeners.append(self._sent_large)
         self._talking: dict[str, anyio.CancelScope] = {}
         self._lanes: dict[str, tuple[float, tuple[routers_pb2.LaneWord, ...]]] = {}
 
@@ -133,8 +133,10 @@
 
     def _count_routers(self) -> None:
         directory, dispatcher = self._parts.directory, self._parts.dispatcher
-        dispatcher.routers = len(directory.others) + 1
-        dispatcher.bounds.know_routers(self._address, directory.others.values(), directory.settled)
+        dispatcher.router_count = len(directory.others) + 1
+        dispatcher.send_limits.know_routers(
+            self._address, directory.others.values(), directory.settled
+        )
 
     async def _read_board(self) -> None:
         """With many routers, leave words on a sidecar's board instead of talking with each."""
--- a/packages/fleet/src/endivesaddle/fleet/routes/running.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/running.py
@@ -30,7 +30,7 @@
 
     async def serve(self, request: ForwardRequest, sink: Sink) -> None:
         """Give a request its answer; a cancelled call settles what it reserved."""
-        held = self.parts.dispatcher.held(request)
+        held = self.parts.dispatcher.check_held_back(request)
         if held is not None:
             await refuse(request, sink, held)
             return
--- a/packages/fleet/src/endivesaddle/fleet/routing/admission.py
+++ b/packages/fleet/src/endivesaddle/fleet/routing/admission.py
@@ -17,7 +17,7 @@
 from endivesaddle.fleet.interfaces import Choice, RoutingRequest
 from endivesaddle.fleet.ports import FleetView
 from endivesaddle.fleet.routing import refusals
-from endivesaddle.fleet.routing.placement import Placement
+from endivesaddle.fleet.routing.placer import Placer
 from endivesaddle.fleet.routing.queues import Queue, Waiting
 from endivesaddle.fleet.routing.retries import Retries
 from endivesaddle.fleet.routing.settings import RoutingSettings
@@ -44,7 +44,7 @@
         self._view = view
         self._clock = clock
         self._random = Random(f'{identity.instance}/{identity.incarnation}')
-        self._placement = Placement(settings, identity, view, clock, self._random)
+        self._placer = Placer(settings, identity, view, clock, self._random)
         self._retries = Retries(settings)
         self._queues: dict[GroupKey, Queue] = {}
         self._counts: Counter[str] = Counter()
@@ -53,7 +53,7 @@
         """Look at members and loads, and serve the queues, until cancelled."""
         while True:
             await anyio.sleep(self._settings.routing_refresh_s)
-            self._placement.table.refresh(self._clock.now_s())
+            self._placer.table.refresh(self._clock.now_s())
             for key in list(self._queues):
                 self._serve(key)
 
@@ -72,13 +72,13 @@
 
     def first_token(self, choice: Choice, routing_request: RoutingRequest) -> None:
         """Learn that the first token came."""
-        self._placement.first_token(choice, routing_request)
+        self._placer.first_token(choice, routing_request)
 
     def ended(
         self, choice: Choice, routing_request: RoutingRequest, ok: bool, used_tokens: int
     ) -> None:
         """Learn that a run ended, well or not; always called once after ``admit``."""
-        self._placement.ended(choice, routing_request, ok, used_tokens)
+        self._placer.ended(choice, routing_request, ok, used_tokens)
         self._counts['ended_ok' if ok else 'ended_failed'] += 1
         if ok and used_tokens:
             self._retries.succeeded(routing_request.account)
@@ -93,8 +93,8 @@
     def counters(self) -> dict[str, float]:
         """Return counts since the start, and sizes of now."""
         sizes = {
-            'prefixes': len(self._placement.prefixes),
-            'servers': len(self._placement.table.servers),
+            'prefixes': len(self._placer.prefixes),
+            'servers': len(self._placer.table.servers),
             'queued': sum(len(queue) for queue in self._queues.values()),
             'retry_accounts': len(self._retries),
         }
@@ -102,7 +102,7 @@
 
     def dump(self) -> dict[str, Any]:
         """Return the state for operators."""
-        servers = self._placement.table.servers.values()
+        servers = self._placer.table.servers.values()
         return {
             'servers': {server.name: server.dump() for server in servers},
             'counters': self.counters(),
@@ -120,7 +120,7 @@
         queue = self._queues.setdefault(group.key, Queue())
         server = None
         if not queue.ahead_of(routing_request):
-            server = self._placement.choose(group, routing_request, exclude)
+            server = self._placer.choose(group, routing_request, exclude)
         if server is None:
             return self._enqueued(
                 group,
@@ -128,20 +128,20 @@
                 Waiting(routing_request, exclude, self._latest(group, routing_request)),
             )
         late = self._late(
-            group, routing_request, self._placement.first_token_s(server, routing_request)
+            group, routing_request, self._placer.first_token_s(server, routing_request)
         )
-        return late or self._placement.send(group, routing_request, server)
+        return late or self._placer.send(group, routing_request, server)
 
     def _group(self, routing_request: RoutingRequest, exclude: frozenset[str]) -> Group | None:
         """Return the servers that a request may go to, None where there is none."""
-        group = self._placement.group(routing_request)
+        group = self._placer.group(routing_request)
         if group is not None and self._any_eligible(group, exclude):
             return group
         # Failure: a server was declared or joined since the last look.  Symptom: its
         # first requests are refused though the members show it.  A refusal is rare
         # and final, so it rests on a look made for it.
-        self._placement.table.look_now()
-        group = self._placement.group(routing_request)
+        self._placer.table.look_now()
+        group = self._placer.group(routing_request)
         if group is not None and self._any_eligible(group, exclude):
             return group
         return None
@@ -203,28 +203,26 @@
         if waiting.outcome is None:
             self._queues[key_of(waiting.routing_request)].remove(waiting)
         elif isinstance(waiting.outcome, Choice):
-            self._placement.ended(waiting.outcome, waiting.routing_request, ok=True, used_tokens=0)
+            self._placer.ended(waiting.outcome, waiting.routing_request, ok=True, used_tokens=0)
 
     def _serve(self, key: GroupKey) -> None:
         """Place waiting requests while there is room."""
         queue = self._queues.get(key)
         while queue:
             waiting = queue.first()
-            group = self._placement.group(waiting.routing_request)
-            server = group and self._placement.choose(
-                group, waiting.routing_request, waiting.exclude
-            )
+            group = self._placer.group(waiting.routing_request)
+            server = group and self._placer.choose(group, waiting.routing_request, waiting.exclude)
             if not group or not server:
                 return
             queue.take(waiting)
-            waiting.decide(self._placement.send(group, waiting.routing_request, server))
+            waiting.decide(self._placer.send(group, waiting.routing_request, server))
 
     def _any_eligible(self, group: Group, exclude: frozenset[str]) -> bool:
-        return any(self._placement.eligible(server, exclude) for server in group.servers)
+        return any(self._placer.eligible(server, exclude) for server in group.servers)
 
     def _latest(self, group: Group, routing_request: RoutingRequest) -> float:
         """Return until when a place is of use: the answer has to end by the deadline."""
-        return routing_request.deadline_unix_s - CAUTION * self._placement.answer_s(
+        return routing_request.deadline_unix_s - CAUTION * self._placer.answer_s(
             group, routing_request
         )
 
@@ -238,7 +236,7 @@
         router's under way the request goes and is the measurement.
         """
         spare_s = routing_request.deadline_unix_s - self._clock.now_s()
-        lacking_s = CAUTION * (first_s + self._placement.answer_s(group, routing_request)) - spare_s
+        lacking_s = CAUTION * (first_s + self._placer.answer_s(group, routing_request)) - spare_s
         if lacking_s <= 0 or not group.outstanding:
             return None
         reason = f'the answer would be late by about {lacking_s:.1f} s'
--- a/packages/fleet/src/endivesaddle/fleet/routing/backends.py
+++ b/packages/fleet/src/endivesaddle/fleet/routing/backends.py
@@ -138,14 +138,14 @@
         self._end_prefill(want)
         self.running.pop(want.key, None)
 
-    def record_outcome(self, well: bool, now_unix_s: float) -> None:
+    def record_outcome(self, success: bool, now_unix_s: float) -> None:
         """Note whether an answer was sound."""
-        if well:
+        if success:
             self._failed_contacts = 0
             self._mark_reachable(now_unix_s)
         self._failed_share = self.failed_share(now_unix_s)
         self._failed_share *= 1 - FAILED_WEIGHT
-        if not well:
+        if not success:
             self._failed_share += FAILED_WEIGHT
         self._failed_unix_s = now_unix_s
 
@@ -160,7 +160,7 @@
         pause_s = min(LONGEST_SILENT_S, SILENT_S * 2**self._failed_contacts)
         self._failed_contacts += 1
         self.unreachable_until_unix_s = now_unix_s + pause_s
-        self.record_outcome(well=False, now_unix_s=now_unix_s)
+        self.record_outcome(success=False, now_unix_s=now_unix_s)
 
     def cold_until_unix_s(self, cold_s: float, now_unix_s: float) -> float:
         """Return until when the server may be cold after it was silent, by what this router met."""
--- a/packages/fleet/src/endivesaddle/fleet/routing/dispatcher.py
+++ b/packages/fleet/src/endivesaddle/fleet/routing/dispatcher.py
@@ -34,34 +34,34 @@
 they waited behind it."""
 
 
-class Place:
-    """A place for one request at one server; ``begin`` and ``end`` bound its use."""
+class Placement:
+    """A place for one request at one server; ``start`` and ``finish`` bound its use."""
 
     def __init__(self, dispatcher: 'Dispatcher', backend: Backend, want: ForwardWant) -> None:
         """Offer ``backend`` to ``want``."""
         self.backend = backend
         self._entered_unix_s = dispatcher.now_s()
-        self.unread_tokens = backend.uncached_tokens(want, dispatcher.now_s())
+        self.uncached_tokens = backend.uncached_tokens(want, dispatcher.now_s())
         self._dispatcher = dispatcher
         self._want = want
 
-    def admitted(self) -> bool:
+    def may_send(self) -> bool:
         """Tell right before the request is sent whether it may still go there."""
         now_unix_s = self._dispatcher.now_s()
-        takes = self._dispatcher.takes(self.backend)
-        return takes and self._dispatcher.bounds.sends(
+        takes = self._dispatcher.accepts_requests(self.backend)
+        return takes and self._dispatcher.send_limits.sends(
             self.backend, self._entered_unix_s, now_unix_s
         )
 
-    def begin(self) -> None:
+    def start(self) -> None:
         """Note that the request is sent."""
         self.backend.start_request(self._want, self._dispatcher.now_s())
         self._dispatcher.sent_parts.note(self.backend.server.lifetime, self._want)
-        if self.unread_tokens >= LARGE_TOKENS:
-            for listener in self._dispatcher.large_listeners:
+        if self.uncached_tokens >= LARGE_TOKENS:
+            for listener in self._dispatcher.large_prompt_listeners:
                 listener()
 
-    def began(self) -> None:
+    def first_event(self) -> None:
         """Note an event of the answer; the first one tells that the prompt is read.
 
         The sidecar beside the engine is told at the first one alone: a call for each event would
@@ -70,32 +70,32 @@
         if self._want.key not in self.backend.prefilling:
             return
         self.backend.first_event(self._want)
-        self._dispatcher.desks.changed(self.backend, soon=self.unread_tokens >= ASKED_TOKENS)
+        self._dispatcher.desks.changed(self.backend, soon=self.uncached_tokens >= ASKED_TOKENS)
 
-    def end(self, well: bool) -> None:
+    def finish(self, success: bool) -> None:
         """Note that nothing is under way there any more."""
         read = self._want.key not in self.backend.prefilling
         self.backend.end_request(self._want)
-        soon = not read and self.unread_tokens >= ASKED_TOKENS
+        soon = not read and self.uncached_tokens >= ASKED_TOKENS
         self._dispatcher.desks.changed(self.backend, soon=soon)
-        self.backend.record_outcome(well, self._dispatcher.now_s())
+        self.backend.record_outcome(success, self._dispatcher.now_s())
 
-    def silent(self, ended: bool) -> None:
-        """Note that the server could not be reached, or that its process ``ended``."""
-        self.backend.mark_unreachable(self._dispatcher.now_s(), ended)
+    def mark_unreachable(self, process_ended: bool) -> None:
+        """Note that the server can't be reached; ``process_ended`` if its process is gone."""
+        self.backend.mark_unreachable(self._dispatcher.now_s(), process_ended)
 
-    def declined(self) -> None:
+    def count_declined(self) -> None:
         """Note that the server had no room."""
         self._dispatcher.counts['declined'] += 1
 
-    def told(self, answer: ServerAnswer) -> None:
+    def apply_signals(self, answer: ServerAnswer) -> None:
         """Note what the server told of itself in the head of its answer."""
         # Nobody knows when the answer of another request was begun.
         sent_unix_s = self._entered_unix_s if answer.own else 0.0
         heading = SignalHeader('', answer.status, sent_unix_s, self._dispatcher.now_s())
         apply_signals(answer.signals, heading, self.backend, self._dispatcher.known)
 
-    def misdirected(self) -> None:
+    def mark_misdirected(self) -> None:
         """Note that the address belongs to another server now."""
         self._dispatcher.known.withdrawn(self.backend.server.lifetime, 'misdirected')
 
@@ -109,18 +109,18 @@
         self.backends = Backends()
         self.sent_parts = SentParts()
         self.crashes = CrashRecords(settings)
-        self.bounds = SendingBounds(
+        self.send_limits = SendingBounds(
             ColdStarts(settings.cold_policy, known, name),
             LimitShares(settings.limit_policy, known.limits, name),
         )
-        self.large_listeners: list[Callable[[], None]] = []
+        self.large_prompt_listeners: list[Callable[[], None]] = []
         self.counts: Counter[str] = Counter()
         self.desks: Desks = NoDesks()
-        self.routers = LEAST_ROUTERS
+        self.router_count = LEAST_ROUTERS
         self._settings = settings
         self._clock = clock
         self._random = Random(name)
-        self._candidates = Candidates(known, self.backends, self.bounds, settings.regions)
+        self._candidates = Candidates(known, self.backends, self.send_limits, settings.regions)
         self._shares: dict[str, RetryShare] = {}
         self._turn = 0
 
@@ -128,7 +128,7 @@
         """Return the time now, in Unix seconds."""
         return self._clock.now_s()
 
-    def servers_heard_s(self) -> float:
+    def server_list_age_s(self) -> float:
         """Return how long ago, in seconds, the store told of the servers here.
 
         A poll that waits for a change counts from its beginning: 2.7 s are the most while the store
@@ -136,7 +136,7 @@
         """
         return round(self.now_s() - self.known.servers_heard_unix_s, 2)
 
-    async def place(self, request: ForwardRequest, exclude: frozenset[str]) -> Place | Refusal:
+    async def place(self, request: ForwardRequest, exclude: frozenset[str]) -> Placement | Refusal:
         """Choose a server for a request, not one that it was sent to already."""
         service = self._service(request)
         want = request.want(service)
@@ -153,9 +153,9 @@
             want, backends, self._settings.forward_data_centre, engine, self.now_s(), self._turn
         )
         backend = await self._enter(setting, placing_policies.find(name))
-        return Place(self, backend, want) if backend else self._none(request, service)
+        return Placement(self, backend, want) if backend else self._none(request, service)
 
-    def held(self, request: ForwardRequest) -> Refusal | None:
+    def check_held_back(self, request: ForwardRequest) -> Refusal | None:
         """Refuse a request that ended too many servers; None where it may run."""
         if not self.crashes:
             return None
@@ -166,23 +166,23 @@
         reason = 'servers ended each time that they ran this request'
         return Refusal('ends_servers', reason, NOT_RUN, UNAVAILABLE, round(held_s, 2))
 
-    def answered(self, request: ForwardRequest) -> None:
+    def record_success(self, request: ForwardRequest) -> None:
         """Note that a request was answered with success."""
         if self.crashes:
             self.crashes.answered(request.digest(), self.now_s())
 
-    def full(self, request: ForwardRequest, reason: str) -> Refusal:
+    def refuse_overloaded(self, request: ForwardRequest, reason: str) -> Refusal:
         """Refuse what ran nowhere, with a time to come back that spreads the callers."""
         again_s = AGAIN_S * (1 + SPREAD * self._random.random())
         return Refusal('overloaded', reason, NOT_RUN, UNAVAILABLE, round(again_s, 2))
 
-    def takes(self, backend: Backend) -> bool:
+    def accepts_requests(self, backend: Backend) -> bool:
         """Tell whether a server may be sent a request now."""
         return self.known.takes(backend.server) and backend.accepts_requests(self.now_s())
 
-    def may_repeat(self, request: ForwardRequest) -> bool:
+    def may_retry(self, request: ForwardRequest) -> bool:
         """Spend one repeat of the service's share."""
-        allowed = self._share(self._service(request)).allow(self.now_s(), self.routers)
+        allowed = self._share(self._service(request)).allow(self.now_s(), self.router_count)
         self.counts['repeats_allowed' if allowed else 'repeats_refused'] += 1
         return allowed
 
@@ -220,7 +220,7 @@
                 backend = await choose(left, policy, self.desks)
             else:
                 backend = policy(left)
-            if self.bounds.enter(backend, self.now_s()):
+            if self.send_limits.enter(backend, self.now_s()):
                 return backend
             backends.remove(backend)
         return None
@@ -228,7 +228,7 @@
     def _none(self, request: ForwardRequest, service: str) -> Refusal:
         """Refuse where no server is open, until one may be."""
         found = self._candidates.why_none(request, service, self.now_s())
-        refusal = self.full(request, found.reason)
+        refusal = self.refuse_overloaded(request, found.reason)
         if not found.wait_s:
             return refusal
         again_s = max(found.wait_s, AGAIN_S) + AGAIN_S * SPREAD * self._random.random()
@@ -237,7 +237,7 @@
     def _cold_s(self, backend: Backend) -> float:
         now_unix_s = self.now_s()
         return round(
-            max(0.0, self.bounds.cold.cold_until_unix_s(backend, now_unix_s) - now_unix_s), 2
+            max(0.0, self.send_limits.cold.cold_until_unix_s(backend, now_unix_s) - now_unix_s), 2
         )
 
     def _service(self, request: ForwardRequest) -> str:
--- a/packages/fleet/src/endivesaddle/fleet/routing/placement.py
+++ b/packages/fleet/src/endivesaddle/fleet/routing/placer.py
@@ -20,7 +20,7 @@
 """An engine's tokens may take half as long again with a full batch; this is beyond."""
 
 
-class Placement:
+class Placer:
     """Where this router's requests are and may go."""
 
     def __init__(
--- a/tools/bench_slopes.py
+++ b/tools/bench_slopes.py
@@ -22,7 +22,7 @@
 from endivesaddle.fleet.identity import Identity
 from endivesaddle.fleet.interfaces import Choice, RoutingRequest
 from endivesaddle.fleet.routing import Admission, RoutingSettings
-from endivesaddle.fleet.routing.placement import Placement
+from endivesaddle.fleet.routing.placer import Placer
 from endivesaddle.fleet.routing.prefixes import Prefixes
 from endivesaddle.fleet.routing.queues import Queue, Waiting
 from endivesaddle.fleet.routing.retries import Retries
@@ -136,14 +136,14 @@
     """Return microseconds of one look at members and reports, where one member changes or none."""
     clock = SteppedClock()
     view = SizedView(servers, POLICIES[0])
-    placement = Placement(RoutingSettings(), IDENTITY, view, clock, Random(1))
-    placement.table.refresh(clock.now_s())
+    placer = Placer(RoutingSettings(), IDENTITY, view, clock, Random(1))
+    placer.table.refresh(clock.now_s())
 
     def look() -> None:
         clock.now_unix_s += 1
         if changing:
             view.change()
-        placement.table.refresh(clock.now_s())
+        placer.table.refresh(clock.now_s())
 
     return min(timeit.repeat(look, number=LOOKS, repeat=ROUNDS, timer=process_time)) / LOOKS * US
 
@@ -172,9 +172,9 @@
 def make_servers(size: int) -> Any:
     """Return a router's table of so many servers; the view is not counted."""
     clock = SteppedClock()
-    placement = Placement(RoutingSettings(), IDENTITY, _view(size), clock, Random(1))
-    placement.table.refresh(clock.now_s())
-    return placement
+    placer = Placer(RoutingSettings(), IDENTITY, _view(size), clock, Random(1))
+    placer.table.refresh(clock.now_s())
+    return placer
 
 
 def make_prefixes(size: int) -> Any:
@@ -202,12 +202,12 @@
 
 def make_outstanding(size: int) -> Any:
     """Return a router with so many requests under way; their wants are counted."""
-    placement = make_servers(800)
-    group = next(iter(placement.table.groups.values()))
+    placer = make_servers(800)
+    group = next(iter(placer.table.groups.values()))
     for number in range(size):
         routing_request = _routing_request(number, 1.7e9)._replace(prefix_hashes=())
-        placement.send(group, routing_request, group.servers[number % len(group.servers)])
-    return placement
+        placer.send(group, routing_request, group.servers[number % len(group.servers)])
+    return placer
 
 
 def print_times() -> None:
