--- a/features/steps/shares_steps.py
+++ b/features/steps/shares_steps.py
@@ -5,7 +5,7 @@
 
 from behave import given, then, when
 
-from endivesaddle.fleet.routes.grants import SMALL_TOKENS
+from endivesaddle.fleet.routes.grants import MIN_CHANGE_TOKENS
 from endivesaddle.fleet.sentinels import Refusal
 from subjects.shares import Shares
 
@@ -128,10 +128,10 @@
 def granted_to(context: Any, router: int, tokens: int) -> None:
     """Compare what it drew with what it uses, and see what it kept for others returned too."""
     more = context.shares.granted_to(router) - context.shares.used_by(router)
-    assert tokens <= more <= tokens + SMALL_TOKENS, more
+    assert tokens <= more <= tokens + MIN_CHANGE_TOKENS, more
     kept = context.shares.allocators[context.shares.names[router]].dump().values()
     ahead = [one['granted_tokens'] - one['spent_tokens'] - one['routers_tokens'] for one in kept]
-    assert max(ahead, default=0) <= SMALL_TOKENS, ahead
+    assert max(ahead, default=0) <= MIN_CHANGE_TOKENS, ahead
 
 
 @then('at most {tokens:d} tokens are spent')
--- a/features/steps/store_relay_steps.py
+++ b/features/steps/store_relay_steps.py
@@ -155,7 +155,7 @@
         ('read', ('many/1',)),
         ('read', ('none',)),
         ('list', ('many/',)),
-        ('glance', ('many/',)),
+        ('list_stale', ('many/',)),
         ('scan', ('many/',)),
         ('poll', ('many/', 0, 0.1)),
         ('poll', ('none/', 0, 0.1)),
--- a/features/steps/users_platform_steps.py
+++ b/features/steps/users_platform_steps.py
@@ -162,7 +162,7 @@
 @then('a list that may be seconds old is asked for with "{word}"')
 def stale(context: Any, word: str) -> None:
     """Look at what the store was asked."""
-    context.users.call('glance', 'servers/')
+    context.users.call('list_stale', 'servers/')
     assert word in context.users.gateway.asked[-1], context.users.gateway.asked
 
 
--- a/features/subjects/limited_server.py
+++ b/features/subjects/limited_server.py
@@ -57,7 +57,7 @@
 
     def _name(self, now_unix_s: float) -> None:
         for advertised in self._advertised:
-            advertised.advertised(SERVER.life, self._limit, now_unix_s)
+            advertised.advertised(SERVER.incarnation, self._limit, now_unix_s)
 
 
 def _share(share: LimitShares, routers: tuple[str, ...]) -> LimitShares:
@@ -80,7 +80,7 @@
         for number in range(100):
             self._now_unix_s += WINDOW_S / 100
             self.last_per_s = 10 + number % 2 / 2
-            self._named.advertised(SERVER.life, self.last_per_s, self._now_unix_s)
+            self._named.advertised(SERVER.incarnation, self.last_per_s, self._now_unix_s)
 
     @property
     def told(self) -> int:
@@ -90,4 +90,4 @@
     @property
     def believed_per_s(self) -> float:
         """The limit that the router keeps."""
-        return self._named.per_s(SERVER.life, self._now_unix_s)
+        return self._named.per_s(SERVER.incarnation, self._now_unix_s)
--- a/features/subjects/store_relay.py
+++ b/features/subjects/store_relay.py
@@ -239,13 +239,13 @@
             started.start(self._account())
 
     def _count_lists(self) -> None:
-        glance = self.store.glance
+        list_stale = self.store.list_stale
 
         async def counted(prefix: str, deadline_unix_s: float) -> Sequence[Stored]:
             self.router_lists += prefix == ROUTERS
-            return await glance(prefix, deadline_unix_s)
+            return await list_stale(prefix, deadline_unix_s)
 
-        self.store.glance = counted  # type: ignore[method-assign]
+        self.store.list_stale = counted  # type: ignore[method-assign]
 
     async def _stop_sidecar(self, number: int) -> None:
         await self.allocators[number].release()
--- a/packages/fleet/src/endivesaddle/fleet/routes/allocator.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/allocator.py
@@ -10,9 +10,9 @@
 
 from endivesaddle.fleet.ports import Handlers
 from endivesaddle.fleet.routes import events
+from endivesaddle.fleet.routes.claim_collector import ClaimCollector
 from endivesaddle.fleet.routes.grant_group import GROUPS, AllocatorContext, GrantGroup, group_of
-from endivesaddle.fleet.routes.grants import LEAST_PART, Grant
-from endivesaddle.fleet.routes.held_claims import HeldClaims
+from endivesaddle.fleet.routes.grants import REST_DIVISOR, Grant
 from endivesaddle.wire import rpcs
 from endivesaddle.wire.routers_pb2 import DrawAnswer, DrawReply, DrawRequest, DrawWord
 
@@ -60,7 +60,7 @@
         self.leaving = False
         self._life = life
         self._groups = [GrantGroup(number, life) for number in range(GROUPS)]
-        self._held_claims = HeldClaims(life, self._groups)
+        self._claim_collector = ClaimCollector(life, self._groups)
         self._asked_unix_s: dict[int, float] = {}
         self._drawn: dict[str, dict[str, _Drawn]] = {}
         self._heard_unix_s: dict[str, float] = {}
@@ -74,7 +74,7 @@
         async with anyio.create_task_group() as group:
             for one in self._groups:
                 group.start_soon(one.run)
-            group.start_soon(self._held_claims.run)
+            group.start_soon(self._claim_collector.run)
 
     async def draw(self, asked: DrawRequest) -> DrawReply:
         """Take in what a router tells, and give it what it needs."""
@@ -132,7 +132,7 @@
     async def _answer(self, asked: DrawRequest, word: DrawWord) -> DrawAnswer:
         group = self._groups[group_of(word.account)]
         grant = group.grant(word.account)
-        grant.declare(asked.version, word.total)
+        grant.apply_total(asked.version, word.total)
         drawn = self._drawn.setdefault(asked.lifetime, {}).setdefault(word.account, _Drawn())
         unseen = drawn.given
         if asked.keeper == self._life.lifetime:
@@ -151,7 +151,7 @@
     def _part(self, grant: Grant, word: DrawWord, unseen: int) -> int:
         """Return what to give: for all that waits, and more but near the end of the total."""
         given = min(grant.available, max(word.needed, word.waiting) - unseen)
-        more = min(word.wanted - unseen - given, (grant.available - given) // LEAST_PART)
+        more = min(word.wanted - unseen - given, (grant.available - given) // REST_DIVISOR)
         return given + max(0, more)
 
     async def _make_room(
--- a/packages/fleet/src/endivesaddle/fleet/routes/held_claims.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/claim_collector.py
@@ -32,7 +32,7 @@
 """Routers that are asked at once."""
 
 
-class HeldClaims:
+class ClaimCollector:
     """One keeper's questions to routers, in the first seconds of its life."""
 
     def __init__(self, life: AllocatorContext, groups: Sequence[GrantGroup]) -> None:
@@ -64,7 +64,7 @@
     async def _read(self) -> None:
         """Learn which routers ended lives may have given tokens to; a copy may be seconds old."""
         life = self._life
-        for stored in await life.store.glance(PREFIX, life.clock.now_s() + CALL_S):
+        for stored in await life.store.list_stale(PREFIX, life.clock.now_s() + CALL_S):
             records = decode(stored.value or b'')
             for name, ended in records.ended_at(life.address, life.lifetime).items():
                 for router in ended.routers:
@@ -79,7 +79,7 @@
     async def _addresses(self) -> dict[str, str]:
         """Return where routers are reached, by lifetime."""
         prefix = f'{INSTANCES}{ROUTER}/'
-        found = await self._life.store.glance(prefix, self._life.clock.now_s() + CALL_S)
+        found = await self._life.store.list_stale(prefix, self._life.clock.now_s() + CALL_S)
         try:
             routers = [msgspec.json.decode(stored.value or b'', type=Instance) for stored in found]
         except msgspec.DecodeError as error:
--- a/packages/fleet/src/endivesaddle/fleet/routes/crash_watch.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/crash_watch.py
@@ -62,15 +62,15 @@
         """
         self._note(digest, server, began_unix_s)
         listens: bool | None = None
-        if server.life not in self._ended:
+        if server.incarnation not in self._ended:
             listens = await self._listens(server)
             events.BROKEN.log(digest=digest, server=server.lifetime, listens=listens)
         if listens:
             self._listened(server)
         elif listens is False:
-            self._ended.append(server.life)
+            self._ended.append(server.incarnation)
         self._look()
-        return server.life in self._ended
+        return server.incarnation in self._ended
 
     def hung(self, digest: str, server: RouteServer, began_unix_s: float) -> None:
         """Take in a run whose time was over before an answer.
@@ -100,7 +100,7 @@
     def _listened(self, server: RouteServer) -> None:
         """Note of runs that broke at a server that connections to it are taken."""
         for index, broken in enumerate(self._pending):
-            if broken.server.life == server.life:
+            if broken.server.incarnation == server.incarnation:
                 self._pending[index] = broken._replace(listens=True)
 
     def _look(self) -> None:
@@ -112,7 +112,7 @@
         self._pending = deque(maxlen=MOST_PENDING)
         for broken in pending:
             if self._has_ended(broken):
-                life = broken.server.life
+                life = broken.server.incarnation
                 self._records.ended(broken.digest, life, broken.run, now_unix_s)
             else:
                 self._pending.append(broken)
@@ -124,4 +124,4 @@
         """
         if broken.listens:
             return self._known.replaced(broken.server)
-        return broken.server.life in self._ended or not self._known.lists(broken.server)
+        return broken.server.incarnation in self._ended or not self._known.lists(broken.server)
--- a/packages/fleet/src/endivesaddle/fleet/routes/declared.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/declared.py
@@ -127,6 +127,6 @@
     cold_until_unix_s: float = 0.0
 
     @property
-    def life(self) -> str:
+    def incarnation(self) -> str:
         """What names this life, also where the server starts again under its name."""
         return f'{self.lifetime}/{self.born_unix_ms}' if self.born_unix_ms else self.lifetime
--- a/packages/fleet/src/endivesaddle/fleet/routes/failover_store.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/failover_store.py
@@ -90,10 +90,10 @@
             'list', lambda store: store.list(prefix, deadline_unix_s), deadline_unix_s
         )
 
-    async def glance(self, prefix: str, deadline_unix_s: float) -> Sequence[Stored]:
+    async def list_stale(self, prefix: str, deadline_unix_s: float) -> Sequence[Stored]:
         """List as ``list`` does, cheaply: what is told may be seconds old."""
         return await self._reach(
-            'glance', lambda store: store.glance(prefix, deadline_unix_s), deadline_unix_s
+            'glance', lambda store: store.list_stale(prefix, deadline_unix_s), deadline_unix_s
         )
 
     async def scan(self, prefix: str, deadline_unix_s: float) -> Changes:
@@ -253,7 +253,7 @@
 
     async def _probe(self) -> None:
         try:
-            await self.direct.glance(PROBED_KEY, self._clock.now_s() + PROBE_CALL_S)
+            await self.direct.list_stale(PROBED_KEY, self._clock.now_s() + PROBE_CALL_S)
         except StoreUnreachable:
             # Each failure says no more than the one before; the first was logged.
             return
--- a/packages/fleet/src/endivesaddle/fleet/routes/grant_group.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/grant_group.py
@@ -17,10 +17,10 @@
 from endivesaddle.fleet.ports import Peers
 from endivesaddle.fleet.routes import events
 from endivesaddle.fleet.routes.grants import (
+    MIN_CHANGE_TOKENS,
     NO_RECORDS,
-    SMALL_TOKENS,
     Grant,
-    Life,
+    Incarnation,
     Records,
     decode,
     encode,
@@ -147,7 +147,7 @@
         """Return what to hold beyond what is in use; nothing once another one is the keeper."""
         return grant.headroom(self._life.clock.now_s()) if self.wanted_here else 0
 
-    def ended(self) -> dict[str, Life]:
+    def ended(self) -> dict[str, Incarnation]:
         """Return the lives of this keeper before this one that still have grants on record.
 
         They have ended for certain: this one is at their address.
@@ -194,7 +194,7 @@
         if wanted < grant.used + grant.waiting:
             # All that is left does not do: near the total each request wrote the record for a
             # few tokens, ten times a second.
-            return wanted > grant.granted + SMALL_TOKENS
+            return wanted > grant.granted + MIN_CHANGE_TOKENS
         return wanted > grant.granted and not grant.fits(grant.waiting)
 
     def _claimed(self) -> list[str]:
@@ -266,7 +266,7 @@
         now_unix_s = self._life.clock.now_s()
         reduced = self._without_ended()
         routers = frozenset(self.routers)
-        own = Life(self._life.address, tuple(sorted(routers)))
+        own = Incarnation(self._life.address, tuple(sorted(routers)))
         records = Records(dict(reduced.accounts), {**reduced.lives, self._life.lifetime: own})
         for name, tokens in wanted.items():
             grant = self.grants[name]
--- a/packages/fleet/src/endivesaddle/fleet/routes/grants.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/grants.py
@@ -16,7 +16,7 @@
 HEADROOM_S = 10.0
 """Seconds of an account's use that are held ahead at most, far from the total.
 
-Store outages last 4 to 9 s, and a grant may have shrunk to ``LOW`` of it when one begins;
+Store outages last 4 to 9 s, and a grant may have shrunk to ``RAISE_BELOW`` of it when one begins;
 an account whose use stays the same meets none of them."""
 STRANDED_SHARE = 0.5
 STRANDED_POWER = 4
@@ -29,18 +29,18 @@
 LEAST_SHARE = 0.004
 """This share of the total is held ahead however little is left, and at most a third
 of that: else each request near the end would write the record."""
-LEAST_PART = 3
+REST_DIVISOR = 3
 UNUSED_SHARE = 0.12
 """So much of what is left is held for an account that nobody has used yet."""
 IDLE_SHARE = 0.02
 """So much is held for an account in use that was not met lately."""
-SMALL_TOKENS = 256
+MIN_CHANGE_TOKENS = 256
 """Differences below this are not worth a write."""
-LOW = 0.85
+RAISE_BELOW = 0.85
 """A grant is raised when less than this of the headroom is left, so that writes are few.
 
 With 0.7 an account whose use stays the same was refused at the end of an outage of 8 s."""
-HIGH = 1.6
+LOWER_ABOVE = 1.6
 """A grant is lowered when more than this many times the headroom is left."""
 WINDOW_S = 8.0
 """The use of an account is its worst cases admitted within this time."""
@@ -82,7 +82,7 @@
         return sum(entry.spent for entry in self.entries.values())
 
 
-class Life(NamedTuple):
+class Incarnation(NamedTuple):
     """One life of a keeper: its address, and all lives of routers that it may have given to."""
 
     address: str
@@ -93,13 +93,13 @@
     """The grants of a group of accounts, and the keepers' lives: one value in the store."""
 
     accounts: dict[str, Record]
-    lives: dict[str, Life]
+    lives: dict[str, Incarnation]
 
     def of(self, account: str) -> Record:
         """Return the record of an account, empty where there is none."""
         return self.accounts.get(account, Record({}))
 
-    def ended_at(self, address: str, lifetime: str) -> dict[str, Life]:
+    def ended_at(self, address: str, lifetime: str) -> dict[str, Incarnation]:
         """Return the lives at an address but for the one that is there now."""
         return {
             name: life
@@ -198,7 +198,7 @@
         self._lifetime = lifetime
         self._version = -1
 
-    def declare(self, version: int, total: int) -> None:
+    def apply_total(self, version: int, total: int) -> None:
         """Take the total of a version; that of an older version changes nothing."""
         if version > self._version:
             self._version = version
@@ -223,7 +223,7 @@
         if not left:
             return 0
         stranded = STRANDED_SHARE * (left / self.total) ** STRANDED_POWER
-        most = min(left / LEAST_PART, self.total * (LEAST_SHARE + stranded))
+        most = min(left / REST_DIVISOR, self.total * (LEAST_SHARE + stranded))
         share = IDLE_SHARE if self.reported or self.used else UNUSED_SHARE
         available = min(most, self.rate_per_s(now_unix_s) * HEADROOM_S)
         return min(left, int(max(left * share, available)))
@@ -239,10 +239,11 @@
 
     def worth_writing(self, headroom: int) -> bool:
         """Tell whether what is held ahead is so far from what is wanted that a write pays."""
-        if self.available > HIGH * headroom + SMALL_TOKENS:
+        if self.available > LOWER_ABOVE * headroom + MIN_CHANGE_TOKENS:
             return True
         return (
-            self.available < LOW * headroom and self.wanted(headroom) > self.granted + SMALL_TOKENS
+            self.available < RAISE_BELOW * headroom
+            and self.wanted(headroom) > self.granted + MIN_CHANGE_TOKENS
         )
 
     def exhausted(self, tokens: int, orphaned: int) -> bool:
--- a/packages/fleet/src/endivesaddle/fleet/routes/instance_directory.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/instance_directory.py
@@ -157,7 +157,7 @@
             _enter(self.others, lifetime, address)
 
     async def _look(self) -> None:
-        found = await self._store.glance(PREFIX, self._clock.now_s() + CALL_S)
+        found = await self._store.list_stale(PREFIX, self._clock.now_s() + CALL_S)
         entries = [
             msgspec.json.decode(stored.value, type=Instance)
             for stored in sorted(found, key=lambda stored: stored.version)
--- a/packages/fleet/src/endivesaddle/fleet/routes/known.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/known.py
@@ -104,12 +104,12 @@
     def lists(self, server: RouteServer) -> bool:
         """Tell whether this life of a server is still there, leaving or not."""
         known = self.servers.get(server.lifetime)
-        return known is not None and known.life == server.life
+        return known is not None and known.incarnation == server.incarnation
 
     def replaced(self, server: RouteServer) -> bool:
         """Tell whether another life of a server has its address."""
         return any(
-            one.address == server.address and one.life != server.life
+            one.address == server.address and one.incarnation != server.incarnation
             for one in self.servers.values()
         )
 
--- a/packages/fleet/src/endivesaddle/fleet/routes/prepaid_pools.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/prepaid_pools.py
@@ -19,7 +19,7 @@
 from endivesaddle.fleet.routes.call_times import TimedPeers
 from endivesaddle.fleet.routes.declared import RouteAccount
 from endivesaddle.fleet.routes.grant_group import GROUPS, group_of
-from endivesaddle.fleet.routes.grants import HIGH, SMALL_TOKENS
+from endivesaddle.fleet.routes.grants import LOWER_ABOVE, MIN_CHANGE_TOKENS
 from endivesaddle.fleet.routes.known import Known
 from endivesaddle.fleet.routes.reservation import Reservation
 from endivesaddle.fleet.sentinels import NOT_RUN, Refusal
@@ -176,7 +176,7 @@
     def _give_back(self, pool: AccountPool) -> None:
         near = self._near(pool)
         available = pool.balance.available - pool.waiting
-        most = 0 if self.releasing else HIGH * near + SMALL_TOKENS
+        most = 0 if self.releasing else LOWER_ABOVE * near + MIN_CHANGE_TOKENS
         if available > most:
             present = set(self._lives.values())
             pool.give_back(available - near, [life for life in pool.drawn if life in present])
--- a/packages/fleet/src/endivesaddle/fleet/routes/remote_store.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/remote_store.py
@@ -27,7 +27,7 @@
 class ForwardStore(KeyStore, PolledStore, Protocol):
     """A store that is read, written, and followed by long polls."""
 
-    async def glance(self, prefix: str, deadline_unix_s: float) -> Sequence[Stored]:
+    async def list_stale(self, prefix: str, deadline_unix_s: float) -> Sequence[Stored]:
         """List as ``list`` does, cheaply: what is told may be seconds old."""
 
     async def end_lease(self, lease_id: int, deadline_unix_s: float) -> None:
@@ -60,7 +60,7 @@
         reply = await self._fetch(StoreAsk(call='list', key=prefix), deadline_unix_s)
         return [_stored(entry) for entry in reply.entries]
 
-    async def glance(self, prefix: str, deadline_unix_s: float) -> Sequence[Stored]:
+    async def list_stale(self, prefix: str, deadline_unix_s: float) -> Sequence[Stored]:
         """List as ``list`` does, cheaply: what is told may be seconds old."""
         reply = await self._fetch(StoreAsk(call='glance', key=prefix), deadline_unix_s)
         return [_stored(entry) for entry in reply.entries]
@@ -174,7 +174,7 @@
 
 @calls.add('glance')
 async def _glance(store: ForwardStore, ask: StoreAsk, deadline_unix_s: float) -> StoreReply:
-    found = await store.glance(ask.key, deadline_unix_s)
+    found = await store.list_stale(ask.key, deadline_unix_s)
     return StoreReply(entries=[_entry(one) for one in found])
 
 
--- a/packages/fleet/src/endivesaddle/fleet/routing/limit_shares.py
+++ b/packages/fleet/src/endivesaddle/fleet/routing/limit_shares.py
@@ -77,7 +77,7 @@
 
     def count(self, backend: Backend, now_unix_s: float) -> None:
         """Count a request that goes there now."""
-        life = backend.server.life
+        life = backend.server.incarnation
         if self._named and self._named.per_s(life, now_unix_s):
             self._sent_unix_s[life] = now_unix_s
             if len(self._sent_unix_s) > MOST_LIVES:
@@ -89,7 +89,7 @@
         A router without a share names the time after which the server takes the next request of
         any router: callers that come back then may meet one that has a share.
         """
-        life = backend.server.life
+        life = backend.server.incarnation
         per_s = self._named.per_s(life, now_unix_s) if self._named else 0.0
         if not per_s:
             return 0.0
--- a/packages/fleet/src/endivesaddle/fleet/routing/server_signals.py
+++ b/packages/fleet/src/endivesaddle/fleet/routing/server_signals.py
@@ -56,11 +56,11 @@
 def limit(header: SignalHeader, backend: Backend, known: Known) -> None:
     """Note for all routers how many requests a second a server takes from them together."""
     if not header.text:
-        known.limits.withdrawn(backend.server.life, header.sent_unix_s, header.now_unix_s)
+        known.limits.withdrawn(backend.server.incarnation, header.sent_unix_s, header.now_unix_s)
         return
     per_s = number(header.text)
     if per_s is not None:
-        known.limits.advertised(backend.server.life, per_s, header.now_unix_s)
+        known.limits.advertised(backend.server.incarnation, per_s, header.now_unix_s)
 
 
 _ALL = tuple((name, server_signals.find(name)) for name in server_signals)
--- a/packages/stand_ins/src/endivesaddle/stand_ins/memory_store.py
+++ b/packages/stand_ins/src/endivesaddle/stand_ins/memory_store.py
@@ -105,7 +105,7 @@
                     yield stored
             await self._changed.wait()
 
-    async def glance(self, prefix: str, deadline_unix_s: float) -> Sequence[Stored]:
+    async def list_stale(self, prefix: str, deadline_unix_s: float) -> Sequence[Stored]:
         """List, never older than now."""
         return await self.list(prefix, deadline_unix_s)
 
