--- a/features/steps/placing_steps.py
+++ b/features/steps/placing_steps.py
@@ -5,8 +5,12 @@
 from behave import then, when
 
 from endivesaddle.fleet.routes.declared import RouteServer
-from endivesaddle.fleet.routing.backends import Backend, ForwardWant
-from endivesaddle.fleet.routing.placing import Setting, least_busy, placing_policies
+from endivesaddle.fleet.routing.backends import Backend, ForwardRoutingRequest
+from endivesaddle.fleet.routing.placement_policies import (
+    PlacementContext,
+    least_busy,
+    placement_policies,
+)
 from subjects.placing import PlacingLoad
 from subjects.placing_bursts import BurstLoad
 from subjects.placing_desks import DeskLoad
@@ -24,7 +28,7 @@
 def carry(context: Any, engines: int, routers: int, per_s: int, seconds: int, hot: int) -> None:
     """Replay the load under each policy."""
     context.loads = {}
-    for policy in placing_policies:
+    for policy in placement_policies:
         load = PlacingLoad(engines, routers)
         load.play(policy, per_s, seconds, hot / HUNDRED)
         context.loads[policy] = load
@@ -115,13 +119,15 @@
     context.met = {'failing': [], 'mended': []}
     for number in range(PER_S * (MENDED_S + FAILING_S)):
         now_unix_s = number / PER_S
-        want = ForwardWant(str(number), 'plain')
-        backend = least_busy(Setting(want, backends, 'a', False, now_unix_s, number))
+        routing_request = ForwardRoutingRequest(str(number), 'plain')
+        backend = least_busy(
+            PlacementContext(routing_request, backends, 'a', False, now_unix_s, number)
+        )
         failing = now_unix_s < seconds
         if failing or now_unix_s > MENDED_S:
             context.met['failing' if failing else 'mended'].append(backend is backends[0])
-        backend.start_request(want, now_unix_s)
-        backend.end_request(want)
+        backend.start_request(routing_request, now_unix_s)
+        backend.end_request(routing_request)
         backend.record_outcome(not failing or backend is not backends[0], now_unix_s)
 
 
--- a/features/subjects/desks.py
+++ b/features/subjects/desks.py
@@ -9,7 +9,7 @@
 from endivesaddle.fleet.ports import Handlers
 from endivesaddle.fleet.routes.declared import RouteServer
 from endivesaddle.fleet.routes.desks import SidecarDesks, answer_desk
-from endivesaddle.fleet.routing.backends import Backends, ForwardWant
+from endivesaddle.fleet.routing.backends import Backends, ForwardRoutingRequest
 from endivesaddle.fleet.routing.engine_desk import EngineDesk, Load
 from endivesaddle.stand_ins.memory_peers import MemoryNet
 from endivesaddle.wire import rpcs
@@ -105,13 +105,13 @@
     async def _prompt(self, tokens: int) -> None:
         self._carried += 1
         backend = self.backends.of(self._servers[self._carried % len(self._servers)])
-        want = ForwardWant(f'r-{self._carried}', 'engines', (), tokens, 100)
-        backend.start_request(want, self._clock.now_s())
+        routing_request = ForwardRoutingRequest(f'r-{self._carried}', 'engines', (), tokens, 100)
+        backend.start_request(routing_request, self._clock.now_s())
         await anyio.sleep(ENDS_S / 2)
-        backend.first_event(want)
+        backend.first_event(routing_request)
         self.router.changed(backend, soon=tokens >= LONG_TOKENS)
         await anyio.sleep(ENDS_S / 2)
-        backend.end_request(want)
+        backend.end_request(routing_request)
         self.router.changed(backend, soon=False)
 
     async def _oldest_s(self) -> float:
--- a/features/subjects/placing.py
+++ b/features/subjects/placing.py
@@ -7,8 +7,8 @@
 from random import Random
 
 from endivesaddle.fleet.routes.declared import RouteServer
-from endivesaddle.fleet.routing.backends import Backend, ForwardWant
-from endivesaddle.fleet.routing.placing import Setting, placing_policies
+from endivesaddle.fleet.routing.backends import Backend, ForwardRoutingRequest
+from endivesaddle.fleet.routing.placement_policies import PlacementContext, placement_policies
 
 READ_TOKENS_PER_S = 120_000.0
 KEPT_S = 20.0
@@ -29,10 +29,10 @@
         self.read_tokens = 0
         self._kept: dict[str, float] = {}
 
-    def read(self, want: ForwardWant, now_unix_s: float) -> float:
+    def read(self, routing_request: ForwardRoutingRequest, now_unix_s: float) -> float:
         """Read a prompt; return when its first token comes."""
         unread = 0
-        for part, tokens in want.parts:
+        for part, tokens in routing_request.parts:
             if now_unix_s - self._kept.get(part, -KEPT_S) >= KEPT_S:
                 unread += tokens
             self._kept[part] = now_unix_s
@@ -51,7 +51,7 @@
         self._engines = {server.lifetime: Engine() for server in servers}
         self._routers = [[Backend(server) for server in servers] for _ in range(routers)]
         self._told = told
-        self._telling: list[tuple[float, str, ForwardWant]] = []
+        self._telling: list[tuple[float, str, ForwardRoutingRequest]] = []
         self.late = 0
         self.count = 0
 
@@ -64,20 +64,20 @@
     def play(self, policy: str, per_s: float, seconds: float, hot_share: float) -> None:
         """Send requests; ``hot_share`` of them are about one subject."""
         random = Random(5)
-        waiting: list[tuple[float, Backend, ForwardWant]] = []
+        waiting: list[tuple[float, Backend, ForwardRoutingRequest]] = []
         for number in range(int(per_s * seconds)):
             now_unix_s = number / per_s
             waiting = _began(waiting, now_unix_s)
             self._tell(now_unix_s)
             subject = 0 if random.random() < hot_share else random.randrange(SUBJECTS)
-            want = _want(number, subject)
+            routing_request = _routing_request(number, subject)
             backends = self._routers[random.randrange(len(self._routers))]
-            setting = Setting(want, backends, 'a', True, now_unix_s, number)
-            backend = placing_policies.find(policy)(setting)
-            backend.start_request(want, now_unix_s)
-            self._telling.append((now_unix_s + TELL_S, backend.server.lifetime, want))
-            first_unix_s = self._engines[backend.server.lifetime].read(want, now_unix_s)
-            waiting.append((first_unix_s, backend, want))
+            context = PlacementContext(routing_request, backends, 'a', True, now_unix_s, number)
+            backend = placement_policies.find(policy)(context)
+            backend.start_request(routing_request, now_unix_s)
+            self._telling.append((now_unix_s + TELL_S, backend.server.lifetime, routing_request))
+            first_unix_s = self._engines[backend.server.lifetime].read(routing_request, now_unix_s)
+            waiting.append((first_unix_s, backend, routing_request))
             self.count += 1
             self.late += first_unix_s - now_unix_s > GOAL_S
 
@@ -86,21 +86,21 @@
         self._telling = [told for told in self._telling if told[0] > now_unix_s]
         if not self._told:
             return
-        for _, lifetime, want in due:
+        for _, lifetime, routing_request in due:
             for backends in self._routers:
                 backend = next(one for one in backends if one.server.lifetime == lifetime)
-                backend.add_parts([want.parts[0][0]], now_unix_s)
+                backend.add_parts([routing_request.parts[0][0]], now_unix_s)
 
 
 def _began(
-    waiting: list[tuple[float, Backend, ForwardWant]], now_unix_s: float
-) -> list[tuple[float, Backend, ForwardWant]]:
-    for first_unix_s, backend, want in waiting:
+    waiting: list[tuple[float, Backend, ForwardRoutingRequest]], now_unix_s: float
+) -> list[tuple[float, Backend, ForwardRoutingRequest]]:
+    for first_unix_s, backend, routing_request in waiting:
         if first_unix_s <= now_unix_s:
-            backend.end_request(want)
+            backend.end_request(routing_request)
     return [entry for entry in waiting if entry[0] > now_unix_s]
 
 
-def _want(number: int, subject: int) -> ForwardWant:
+def _routing_request(number: int, subject: int) -> ForwardRoutingRequest:
     parts = ((f's{subject}', SHARED_TOKENS), (f'o{number}', OWN_TOKENS))
-    return ForwardWant(str(number), 'engines', parts, SHARED_TOKENS + OWN_TOKENS, 100)
+    return ForwardRoutingRequest(str(number), 'engines', parts, SHARED_TOKENS + OWN_TOKENS, 100)
--- a/features/subjects/placing_bursts.py
+++ b/features/subjects/placing_bursts.py
@@ -7,9 +7,9 @@
 from random import Random
 
 from endivesaddle.fleet.routes.declared import RouteServer
-from endivesaddle.fleet.routing.backends import Backend, ForwardWant
+from endivesaddle.fleet.routing.backends import Backend, ForwardRoutingRequest
 from endivesaddle.fleet.routing.dispatcher import LARGE_TOKENS
-from endivesaddle.fleet.routing.placing import Setting, placing_policies
+from endivesaddle.fleet.routing.placement_policies import PlacementContext, placement_policies
 from subjects.placing import Engine
 
 TALK_S = 0.25
@@ -33,7 +33,7 @@
         self._engines = {server.lifetime: Engine() for server in servers}
         self._routers = [[Backend(server) for server in servers] for _ in range(routers)]
         self._at_once = at_once
-        self._waiting: list[tuple[float, Backend, ForwardWant]] = []
+        self._waiting: list[tuple[float, Backend, ForwardRoutingRequest]] = []
         self._talk_unix_s = 0.0
         self.late = 0
         self.count = 0
@@ -50,23 +50,25 @@
     def _send(self, policy: str, now_unix_s: float, tokens: int, random: Random) -> None:
         self._began(now_unix_s)
         self._talk(now_unix_s)
-        want = ForwardWant(str(self.count), 'engines', ((f'o{self.count}', tokens),), tokens, 100)
+        routing_request = ForwardRoutingRequest(
+            str(self.count), 'engines', ((f'o{self.count}', tokens),), tokens, 100
+        )
         backends = random.choice(self._routers)
-        backend = placing_policies.find(policy)(
-            Setting(want, backends, 'a', True, now_unix_s, self.count)
+        backend = placement_policies.find(policy)(
+            PlacementContext(routing_request, backends, 'a', True, now_unix_s, self.count)
         )
-        backend.start_request(want, now_unix_s)
+        backend.start_request(routing_request, now_unix_s)
         if self._at_once and tokens >= LARGE_TOKENS:
             self._talk_unix_s = min(self._talk_unix_s, now_unix_s + TOLD_S)
-        first_unix_s = self._engines[backend.server.lifetime].read(want, now_unix_s)
-        self._waiting.append((first_unix_s, backend, want))
+        first_unix_s = self._engines[backend.server.lifetime].read(routing_request, now_unix_s)
+        self._waiting.append((first_unix_s, backend, routing_request))
         self.count += 1
         self.late += first_unix_s - now_unix_s > GOAL_S
 
     def _began(self, now_unix_s: float) -> None:
-        for first_unix_s, backend, want in self._waiting:
+        for first_unix_s, backend, routing_request in self._waiting:
             if first_unix_s <= now_unix_s:
-                backend.end_request(want)
+                backend.end_request(routing_request)
         self._waiting = [entry for entry in self._waiting if entry[0] > now_unix_s]
 
     def _talk(self, now_unix_s: float) -> None:
--- a/features/subjects/placing_desks.py
+++ b/features/subjects/placing_desks.py
@@ -7,10 +7,10 @@
 from random import Random
 
 from endivesaddle.fleet.routes.declared import RouteServer
-from endivesaddle.fleet.routing.backends import Backend, ForwardWant
+from endivesaddle.fleet.routing.backends import Backend, ForwardRoutingRequest
 from endivesaddle.fleet.routing.choosing import Desks, NoDesks, choose
 from endivesaddle.fleet.routing.engine_desk import EngineDesk, Load, Word
-from endivesaddle.fleet.routing.placing import Setting, placing_policies
+from endivesaddle.fleet.routing.placement_policies import PlacementContext, placement_policies
 from subjects.links_loop import ScenarioLoop
 
 TALK_S = 1.05
@@ -64,7 +64,7 @@
         self._free_unix_s = dict.fromkeys(self.desks, 0.0)
         self._routers = [[Backend(server) for server in servers] for _ in range(routers)]
         self._ways: list[Desks] = [Told(self, n) if asked else NoDesks() for n in range(routers)]
-        self._waiting: list[tuple[float, int, Backend, ForwardWant]] = []
+        self._waiting: list[tuple[float, int, Backend, ForwardRoutingRequest]] = []
         self._talk_unix_s = 0.0
 
     def play(self, per_s: float, seconds: float) -> None:
@@ -80,22 +80,26 @@
         loop.close()
 
     async def _send(self, router: int, tokens: int) -> None:
-        want = ForwardWant(str(self.count), 'engines', ((f'o{self.count}', tokens),), tokens, 100)
-        setting = Setting(want, self._routers[router], 'a', True, self.now_unix_s, self.count)
-        policy = placing_policies.find('earliest_first_event')
-        backend = await choose(setting, policy, self._ways[router])
-        backend.start_request(want, self.now_unix_s)
+        routing_request = ForwardRoutingRequest(
+            str(self.count), 'engines', ((f'o{self.count}', tokens),), tokens, 100
+        )
+        context = PlacementContext(
+            routing_request, self._routers[router], 'a', True, self.now_unix_s, self.count
+        )
+        policy = placement_policies.find('earliest_first_event')
+        backend = await choose(context, policy, self._ways[router])
+        backend.start_request(routing_request, self.now_unix_s)
         name = backend.server.lifetime
         start_unix_s = max(self.now_unix_s, self._free_unix_s[name])
         self._free_unix_s[name] = start_unix_s + tokens / READ_TOKENS_PER_S
-        self._waiting.append((self._free_unix_s[name], router, backend, want))
+        self._waiting.append((self._free_unix_s[name], router, backend, routing_request))
         self.count += 1
         self.late += self._free_unix_s[name] - self.now_unix_s > GOAL_S
 
     def _began(self) -> None:
-        for first_unix_s, router, backend, want in self._waiting:
+        for first_unix_s, router, backend, routing_request in self._waiting:
             if first_unix_s <= self.now_unix_s:
-                backend.end_request(want)
+                backend.end_request(routing_request)
                 self._ways[router].changed(backend, soon=True)
         self._waiting = [entry for entry in self._waiting if entry[0] > self.now_unix_s]
 
--- a/features/subjects/store_relay.py
+++ b/features/subjects/store_relay.py
@@ -26,7 +26,7 @@
 )
 from endivesaddle.fleet.routes.remote_store import RemoteStore, answer_store
 from endivesaddle.fleet.routes.reservation import Reservation
-from endivesaddle.fleet.routing.backends import Backend, ForwardWant
+from endivesaddle.fleet.routing.backends import Backend, ForwardRoutingRequest
 from endivesaddle.fleet.routing.dispatcher import Placement
 from endivesaddle.fleet.sentinels import Refusal
 from endivesaddle.stand_ins.memory_peers import Fault, MemoryNet
@@ -149,8 +149,8 @@
     def send(self, router: int, tokens: int) -> None:
         """Have a router send a prompt, half of it shared, to the one backend server."""
         parts = ((SHARED_PART, tokens // 2), ('own', tokens - tokens // 2))
-        want = ForwardWant('r-1', 'engines', parts, tokens, 100)
-        self._loop.run(self._begin, router, want)
+        routing_request = ForwardRoutingRequest('r-1', 'engines', parts, tokens, 100)
+        self._loop.run(self._begin, router, routing_request)
 
     def talks(self) -> int:
         """Return how many words routers sent to each other, and answered."""
@@ -182,8 +182,8 @@
     def _count_in_vain(self, router: str, made: StoreCall) -> None:
         self.in_vain[router] += made.path == SHARED and made.outcome == 'unreachable'
 
-    async def _begin(self, router: int, want: ForwardWant) -> None:
-        Placement(self.routers[router].dispatcher, self.backends()[router], want).start()
+    async def _begin(self, router: int, routing_request: ForwardRoutingRequest) -> None:
+        Placement(self.routers[router].dispatcher, self.backends()[router], routing_request).start()
 
     async def _holds(self, backend: Backend) -> bool:
         return backend.has_part(SHARED_PART, self._clock.now_s())
--- a/packages/fleet/src/endivesaddle/fleet/routes/forwarded.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/forwarded.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple, Protocol
 
 from endivesaddle.fleet.routes.declared import Route, RouteAccount, RouteServer
-from endivesaddle.fleet.routing.backends import ForwardWant
+from endivesaddle.fleet.routing.backends import ForwardRoutingRequest
 from endivesaddle.fleet.sentinels import Refusal
 
 DIGEST_BYTES = 16
@@ -72,9 +72,9 @@
         state.update(self.body)
         return state.hexdigest()
 
-    def want(self, service: str) -> ForwardWant:
+    def routing_request(self, service: str) -> ForwardRoutingRequest:
         """Return what it asks of a server of a service."""
-        return ForwardWant(
+        return ForwardRoutingRequest(
             self.request_id,
             service,
             self.parts,
--- a/packages/fleet/src/endivesaddle/fleet/routing/backends.py
+++ b/packages/fleet/src/endivesaddle/fleet/routing/backends.py
@@ -31,7 +31,7 @@
 """Parts remembered for one server."""
 
 
-class ForwardWant(NamedTuple):
+class ForwardRoutingRequest(NamedTuple):
     """What a forwarded request asks of a server.
 
     ``parts`` are (id, tokens) of the prompt in order, the last one its own.
@@ -98,10 +98,10 @@
         self.others_prefilling_tokens = tokens
         self.sidecar_report_unix_s = now_unix_s
 
-    def uncached_tokens(self, want: ForwardWant, now_unix_s: float) -> int:
+    def uncached_tokens(self, request: ForwardRoutingRequest, now_unix_s: float) -> int:
         """Return the tokens of a prompt that the server has to read."""
-        unread = want.prompt_tokens
-        for part, tokens in want.parts:
+        unread = request.prompt_tokens
+        for part, tokens in request.parts:
             sent_unix_s = self._parts.get(part)
             if sent_unix_s is None or now_unix_s - sent_unix_s > PARTS_S:
                 break
@@ -113,12 +113,12 @@
         sent_unix_s = self._parts.get(part)
         return sent_unix_s is not None and now_unix_s - sent_unix_s <= PARTS_S
 
-    def start_request(self, want: ForwardWant, now_unix_s: float) -> None:
+    def start_request(self, request: ForwardRoutingRequest, now_unix_s: float) -> None:
         """Note that a request goes there now."""
-        self._end_prefill(want)
-        self.prefilling[want.key] = self.uncached_tokens(want, now_unix_s)
-        self.own_prefilling_tokens += self.prefilling[want.key]
-        self.add_parts([part for part, _ in want.parts], now_unix_s)
+        self._end_prefill(request)
+        self.prefilling[request.key] = self.uncached_tokens(request, now_unix_s)
+        self.own_prefilling_tokens += self.prefilling[request.key]
+        self.add_parts([part for part, _ in request.parts], now_unix_s)
 
     def add_parts(self, parts: Iterable[str], now_unix_s: float) -> None:
         """Note that parts of prompts went there now, from here or from another router."""
@@ -128,15 +128,15 @@
         while len(self._parts) > MOST_PARTS:
             self._parts.popitem(last=False)
 
-    def first_event(self, want: ForwardWant) -> None:
+    def first_event(self, request: ForwardRoutingRequest) -> None:
         """Note the first event of an answer: its prompt is read."""
-        if self._end_prefill(want):
-            self.running[want.key] = want.prompt_tokens
+        if self._end_prefill(request):
+            self.running[request.key] = request.prompt_tokens
 
-    def end_request(self, want: ForwardWant) -> None:
+    def end_request(self, request: ForwardRoutingRequest) -> None:
         """Note that nothing of a request is under way there any more."""
-        self._end_prefill(want)
-        self.running.pop(want.key, None)
+        self._end_prefill(request)
+        self.running.pop(request.key, None)
 
     def record_outcome(self, success: bool, now_unix_s: float) -> None:
         """Note whether an answer was sound."""
@@ -202,9 +202,9 @@
             self._may_be_cold = False
             self._reachable_since_unix_s = now_unix_s
 
-    def _end_prefill(self, want: ForwardWant) -> bool:
+    def _end_prefill(self, request: ForwardRoutingRequest) -> bool:
         """Take a prompt off those that are being read; True if it was one of them."""
-        tokens = self.prefilling.pop(want.key, None)
+        tokens = self.prefilling.pop(request.key, None)
         self.own_prefilling_tokens -= tokens or 0
         return tokens is not None
 
--- a/packages/fleet/src/endivesaddle/fleet/routing/choosing.py
+++ b/packages/fleet/src/endivesaddle/fleet/routing/choosing.py
@@ -3,7 +3,11 @@
 from typing import Protocol
 
 from endivesaddle.fleet.routing.backends import Backend
-from endivesaddle.fleet.routing.placing import PlacingPolicy, Setting, tolerated_tokens
+from endivesaddle.fleet.routing.placement_policies import (
+    PlacementContext,
+    PlacementPolicy,
+    tolerated_tokens,
+)
 
 ASKS = 3
 """Sidecars asked for one prompt at most; each takes some 3 ms."""
@@ -38,18 +42,18 @@
         """Tell nobody."""
 
 
-async def choose(setting: Setting, policy: PlacingPolicy, desks: Desks) -> Backend:
+async def choose(context: PlacementContext, policy: PlacementPolicy, desks: Desks) -> Backend:
     """Return the lane for a prompt.
 
     What a sidecar says changes its lane, so that the policy decides anew with the truth about
     the engines that it had preferred.
     """
     for asks_left in reversed(range(ASKS)):
-        backend = policy(setting)
-        unread = backend.uncached_tokens(setting.want, setting.now_unix_s)
+        backend = policy(context)
+        unread = backend.uncached_tokens(context.request, context.now_unix_s)
         if unread < ASKED_TOKENS:
             break
-        most_tokens = tolerated_tokens(setting, backend) if asks_left else ANY_TOKENS
+        most_tokens = tolerated_tokens(context, backend) if asks_left else ANY_TOKENS
         if await desks.ask(backend, unread, most_tokens):
             break
     return backend
--- a/packages/fleet/src/endivesaddle/fleet/routing/dispatcher.py
+++ b/packages/fleet/src/endivesaddle/fleet/routing/dispatcher.py
@@ -8,14 +8,18 @@
 from endivesaddle.fleet.routes.declared import Route
 from endivesaddle.fleet.routes.forwarded import ForwardRequest, ServerAnswer
 from endivesaddle.fleet.routes.known import Known
-from endivesaddle.fleet.routing.backends import Backend, Backends, ForwardWant, is_engine
+from endivesaddle.fleet.routing.backends import Backend, Backends, ForwardRoutingRequest, is_engine
 from endivesaddle.fleet.routing.candidates import Candidates
 from endivesaddle.fleet.routing.choosing import ASKED_TOKENS, Desks, NoDesks, choose
 from endivesaddle.fleet.routing.cold_starts import ColdStarts
 from endivesaddle.fleet.routing.crash_records import CrashRecords
 from endivesaddle.fleet.routing.forward_settings import ForwardSettings
 from endivesaddle.fleet.routing.limit_shares import LimitShares
-from endivesaddle.fleet.routing.placing import PlacingPolicy, Setting, placing_policies
+from endivesaddle.fleet.routing.placement_policies import (
+    PlacementContext,
+    PlacementPolicy,
+    placement_policies,
+)
 from endivesaddle.fleet.routing.retry_share import RetryShare
 from endivesaddle.fleet.routing.sending_bounds import SendingBounds
 from endivesaddle.fleet.routing.sent_parts import SentParts
@@ -37,13 +41,15 @@
 class Placement:
     """A place for one request at one server; ``start`` and ``finish`` bound its use."""
 
-    def __init__(self, dispatcher: 'Dispatcher', backend: Backend, want: ForwardWant) -> None:
-        """Offer ``backend`` to ``want``."""
+    def __init__(
+        self, dispatcher: 'Dispatcher', backend: Backend, routing_request: ForwardRoutingRequest
+    ) -> None:
+        """Offer ``backend`` to ``routing_request``."""
         self.backend = backend
         self._entered_unix_s = dispatcher.now_s()
-        self.uncached_tokens = backend.uncached_tokens(want, dispatcher.now_s())
+        self.uncached_tokens = backend.uncached_tokens(routing_request, dispatcher.now_s())
         self._dispatcher = dispatcher
-        self._want = want
+        self._request = routing_request
 
     def may_send(self) -> bool:
         """Tell right before the request is sent whether it may still go there."""
@@ -55,8 +61,8 @@
 
     def start(self) -> None:
         """Note that the request is sent."""
-        self.backend.start_request(self._want, self._dispatcher.now_s())
-        self._dispatcher.sent_parts.note(self.backend.server.lifetime, self._want)
+        self.backend.start_request(self._request, self._dispatcher.now_s())
+        self._dispatcher.sent_parts.note(self.backend.server.lifetime, self._request)
         if self.uncached_tokens >= LARGE_TOKENS:
             for listener in self._dispatcher.large_prompt_listeners:
                 listener()
@@ -67,15 +73,15 @@
         The sidecar beside the engine is told at the first one alone: a call for each event would
         cost more than passing the event on.
         """
-        if self._want.key not in self.backend.prefilling:
+        if self._request.key not in self.backend.prefilling:
             return
-        self.backend.first_event(self._want)
+        self.backend.first_event(self._request)
         self._dispatcher.desks.changed(self.backend, soon=self.uncached_tokens >= ASKED_TOKENS)
 
     def finish(self, success: bool) -> None:
         """Note that nothing is under way there any more."""
-        read = self._want.key not in self.backend.prefilling
-        self.backend.end_request(self._want)
+        read = self._request.key not in self.backend.prefilling
+        self.backend.end_request(self._request)
         soon = not read and self.uncached_tokens >= ASKED_TOKENS
         self._dispatcher.desks.changed(self.backend, soon=soon)
         self.backend.record_outcome(success, self._dispatcher.now_s())
@@ -139,7 +145,7 @@
     async def place(self, request: ForwardRequest, exclude: frozenset[str]) -> Placement | Refusal:
         """Choose a server for a request, not one that it was sent to already."""
         service = self._service(request)
-        want = request.want(service)
+        routing_request = request.routing_request(service)
         if not exclude:
             self._share(service).request(self.now_s())
         backends = self._candidates.open(request, service, exclude, self.now_s())
@@ -149,11 +155,18 @@
         name = self._settings.forward_policy if engine else 'least_busy'
         self._turn += 1
         self.counts['placed'] += 1
-        setting = Setting(
-            want, backends, self._settings.forward_data_centre, engine, self.now_s(), self._turn
+        context = PlacementContext(
+            routing_request,
+            backends,
+            self._settings.forward_data_centre,
+            engine,
+            self.now_s(),
+            self._turn,
+        )
+        backend = await self._enter(context, placement_policies.find(name))
+        return (
+            Placement(self, backend, routing_request) if backend else self._none(request, service)
         )
-        backend = await self._enter(setting, placing_policies.find(name))
-        return Placement(self, backend, want) if backend else self._none(request, service)
 
     def check_held_back(self, request: ForwardRequest) -> Refusal | None:
         """Refuse a request that ended too many servers; None where it may run."""
@@ -211,12 +224,12 @@
             for backend in self.backends.all()
         }
 
-    async def _enter(self, setting: Setting, policy: PlacingPolicy) -> Backend | None:
+    async def _enter(self, context: PlacementContext, policy: PlacementPolicy) -> Backend | None:
         """Choose a server and count the request there, passing over those that bear no more."""
-        backends = list(setting.backends)
+        backends = list(context.backends)
         while backends:
-            left = setting._replace(backends=backends)
-            if setting.engine and len(backends) > 1:
+            left = context._replace(backends=backends)
+            if context.engine and len(backends) > 1:
                 backend = await choose(left, policy, self.desks)
             else:
                 backend = policy(left)
--- a/packages/fleet/src/endivesaddle/fleet/routing/forward_settings.py
+++ b/packages/fleet/src/endivesaddle/fleet/routing/forward_settings.py
@@ -5,7 +5,7 @@
 from endivesaddle.fleet import settings
 from endivesaddle.fleet.routing.cold_starts import cold_policies
 from endivesaddle.fleet.routing.limit_shares import limit_policies
-from endivesaddle.fleet.routing.placing import placing_policies
+from endivesaddle.fleet.routing.placement_policies import placement_policies
 
 
 @dataclasses.dataclass(frozen=True)
@@ -14,9 +14,9 @@
 
     forward_policy: str = settings.option(
         'forward-policy',
-        f'how requests are placed on engines: {", ".join(placing_policies)}',
+        f'how requests are placed on engines: {", ".join(placement_policies)}',
         'earliest_first_event',
-        settings.choice(*placing_policies),
+        settings.choice(*placement_policies),
     )
     forward_data_centre: str = settings.option(
         'forward-data-centre', 'data centre of this router', 'one'
--- a/packages/fleet/src/endivesaddle/fleet/routing/placing.py
+++ b/packages/fleet/src/endivesaddle/fleet/routing/placement_policies.py
@@ -4,7 +4,7 @@
 from typing import NamedTuple
 
 from endivesaddle.fleet.registry import Registry
-from endivesaddle.fleet.routing.backends import Backend, ForwardWant
+from endivesaddle.fleet.routing.backends import Backend, ForwardRoutingRequest
 from endivesaddle.fleet.routing.rendezvous import weight
 
 PREFILL_TOKENS_PER_MS = 120.0
@@ -23,10 +23,10 @@
 was never read, and the home keeps two routers from reading it at two servers at once."""
 
 
-class Setting(NamedTuple):
+class PlacementContext(NamedTuple):
     """What a policy decides on: lanes that may be chosen, and the time."""
 
-    want: ForwardWant
+    request: ForwardRoutingRequest
     backends: Sequence[Backend]
     data_centre: str
     engine: bool
@@ -34,31 +34,31 @@
     turn: int
 
 
-PlacingPolicy = Callable[[Setting], Backend]
+PlacementPolicy = Callable[[PlacementContext], Backend]
 
-placing_policies: Registry[PlacingPolicy] = Registry('placing policy')
+placement_policies: Registry[PlacementPolicy] = Registry('placement policy')
 
 
-@placing_policies.add('round_robin')
-def round_robin(setting: Setting) -> Backend:
+@placement_policies.add('round_robin')
+def round_robin(context: PlacementContext) -> Backend:
     """Take the servers in turn, as a baseline."""
-    return setting.backends[setting.turn % len(setting.backends)]
+    return context.backends[context.turn % len(context.backends)]
 
 
-@placing_policies.add('least_outstanding')
-def least_outstanding(setting: Setting) -> Backend:
+@placement_policies.add('least_outstanding')
+def least_outstanding(context: PlacementContext) -> Backend:
     """Take the server with the fewest requests, as a baseline."""
-    return min(setting.backends, key=lambda backend: backend.in_flight)
+    return min(context.backends, key=lambda backend: backend.in_flight)
 
 
-@placing_policies.add('prefix_hash')
-def prefix_hash(setting: Setting) -> Backend:
+@placement_policies.add('prefix_hash')
+def prefix_hash(context: PlacementContext) -> Backend:
     """Take the home of the last shared part, whatever its load, as a baseline."""
-    return home(setting.want.shared_part or setting.want.key, setting.backends)
+    return home(context.request.shared_part or context.request.key, context.backends)
 
 
-@placing_policies.add('earliest_first_event')
-def earliest_first_event(setting: Setting) -> Backend:
+@placement_policies.add('earliest_first_event')
+def earliest_first_event(context: PlacementContext) -> Backend:
     """Take the server whose first event is expected first.
 
     Load pattern: parts of prompts shared by many requests, of which each router
@@ -66,13 +66,13 @@
     has not seen goes to its home, which all routers agree on without a word,
     and a server that is behind by more than the reading saved is passed over.
     """
-    shared = setting.want.shared_part
+    shared = context.request.shared_part
     homeless = shared and not any(
-        backend.has_part(shared, setting.now_unix_s) for backend in setting.backends
+        backend.has_part(shared, context.now_unix_s) for backend in context.backends
     )
-    at_home = home(shared, setting.backends) if homeless else None
+    at_home = home(shared, context.backends) if homeless else None
     return min(
-        setting.backends, key=lambda backend: _expected_ms(setting, backend, backend is at_home)
+        context.backends, key=lambda backend: _expected_ms(context, backend, backend is at_home)
     )
 
 
@@ -81,40 +81,40 @@
     return max(backends, key=lambda backend: weight(part, backend.server.lifetime))
 
 
-def _expected_ms(setting: Setting, backend: Backend, at_home: bool) -> float:
-    want = setting.want
-    unread = backend.uncached_tokens(want, setting.now_unix_s)
-    if at_home and want.parts:
-        shared_tokens = want.prompt_tokens - want.parts[-1][1]
+def _expected_ms(context: PlacementContext, backend: Backend, at_home: bool) -> float:
+    request = context.request
+    unread = backend.uncached_tokens(request, context.now_unix_s)
+    if at_home and request.parts:
+        shared_tokens = request.prompt_tokens - request.parts[-1][1]
         unread -= int(HOME_TRUST * max(0, shared_tokens))
     wait_ms = (backend.prefilling_tokens + unread) / PREFILL_TOKENS_PER_MS
     wait_ms += REQUEST_MS * backend.in_flight
-    far_ms = 0.0 if backend.server.data_centre == setting.data_centre else FAR_MS
-    return wait_ms + far_ms + FAILURE_MS * backend.failed_share(setting.now_unix_s)
+    far_ms = 0.0 if backend.server.data_centre == context.data_centre else FAR_MS
+    return wait_ms + far_ms + FAILURE_MS * backend.failed_share(context.now_unix_s)
 
 
-def tolerated_tokens(setting: Setting, backend: Backend) -> int:
+def tolerated_tokens(context: PlacementContext, backend: Backend) -> int:
     """Return how many tokens others may have to read at a lane before another one is better."""
-    others = [one for one in setting.backends if one is not backend]
+    others = [one for one in context.backends if one is not backend]
     if not others:
         return backend.others_prefilling_tokens
-    best_ms = min(_expected_ms(setting, one, at_home=False) for one in others)
-    more_ms = best_ms + HOP_MS - _expected_ms(setting, backend, at_home=False)
+    best_ms = min(_expected_ms(context, one, at_home=False) for one in others)
+    more_ms = best_ms + HOP_MS - _expected_ms(context, backend, at_home=False)
     return max(0, backend.others_prefilling_tokens + int(more_ms * PREFILL_TOKENS_PER_MS))
 
 
-@placing_policies.add('least_busy')
-def least_busy(setting: Setting) -> Backend:
+@placement_policies.add('least_busy')
+def least_busy(context: PlacementContext) -> Backend:
     """Take the plain server with the most free slots for its size, well ones before failing ones.
 
     Load pattern: few servers with few slots, one of which fails a part of its
     requests while its health check is good.
     """
-    return min(setting.backends, key=lambda backend: _busy(setting, backend))
+    return min(context.backends, key=lambda backend: _busy(context, backend))
 
 
-def _busy(setting: Setting, backend: Backend) -> tuple[float, bool, bytes]:
+def _busy(context: PlacementContext, backend: Backend) -> tuple[float, bool, bytes]:
     busy = (backend.in_flight + 1) / max(1, backend.server.slots)
-    failing = backend.failed_share(setting.now_unix_s)
-    far = backend.server.data_centre != setting.data_centre
-    return busy + 2 * failing, far, weight(setting.want.key, backend.server.lifetime)
+    failing = backend.failed_share(context.now_unix_s)
+    far = backend.server.data_centre != context.data_centre
+    return busy + 2 * failing, far, weight(context.request.key, backend.server.lifetime)
--- a/packages/fleet/src/endivesaddle/fleet/routing/sent_parts.py
+++ b/packages/fleet/src/endivesaddle/fleet/routing/sent_parts.py
@@ -8,7 +8,7 @@
 from collections.abc import Sequence
 from typing import NamedTuple
 
-from endivesaddle.fleet.routing.backends import ForwardWant
+from endivesaddle.fleet.routing.backends import ForwardRoutingRequest
 
 MOST_TOLD = 48
 """Parts in one word to another router: what five routers send at 100 requests a second.
@@ -31,9 +31,9 @@
         self.count = 0
         self._newest: deque[SentPart] = deque(maxlen=MOST_TOLD)
 
-    def note(self, server: str, want: ForwardWant) -> None:
+    def note(self, server: str, request: ForwardRoutingRequest) -> None:
         """Take in the shared parts of a request that goes to a server."""
-        for part, _ in want.parts[:-1]:
+        for part, _ in request.parts[:-1]:
             self._newest.append(SentPart(server, part))
             self.count += 1
 
