--- a/packages/fleet/src/endivesaddle/fleet/requests/batches.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/batches.py
@@ -19,7 +19,7 @@
     """The bytes of a batch, empty if nothing was added, and the records that did not fit."""
 
     value: bytes
-    left: list[holders_pb2.Record]
+    rest: list[holders_pb2.Record]
 
 
 def encode(batch: holders_pb2.Batch) -> bytes:
--- a/packages/fleet/src/endivesaddle/fleet/requests/call_executor.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/call_executor.py
@@ -257,7 +257,7 @@
             if call.record.state != states.CLAIMED:
                 await self._finisher.settle(call, states.UNKNOWN, 0)
             return self._weaken_if_uncertain(call, refusal)
-        if not await self._finisher.give_back(call, refusal.status):
+        if not await self._finisher.release(call, refusal.status):
             return refusals.weaken(refusal, RUN_UNKNOWN)
         return self._weaken_if_uncertain(call, refusal)
 
--- a/packages/fleet/src/endivesaddle/fleet/requests/deciding.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/deciding.py
@@ -81,7 +81,7 @@
         if isinstance(held, NotHolder):
             return _not_holder(held)
         query_result = await self._query(message, held)
-        if query_result.known is not None and not self._given_back(query_result.known):
+        if query_result.known is not None and not self._is_released(query_result.known):
             return self._reply_known(query_result.known, message, query_result)
         if query_result.yield_to:
             return self._redirect_to(query_result.yield_to, message)
@@ -178,7 +178,7 @@
             states.DISPATCHED, states.ENDED, states.UNKNOWN,
         }  # fmt: skip
 
-    def _given_back(self, record: holders_pb2.Record) -> bool:
+    def _is_released(self, record: holders_pb2.Record) -> bool:
         """Tell whether a record of another instance is a copy of a claim released here."""
         entry = self._table.find(record.request_key)
         if entry is None or record.data_centre != self._context.identity.data_centre:
--- a/packages/fleet/src/endivesaddle/fleet/requests/finding.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/finding.py
@@ -1,4 +1,4 @@
-"""Finding records by key or by a predicate."""
+"""Search of records by key or by a predicate."""
 
 import operator
 from collections.abc import Callable, Iterable
@@ -10,11 +10,14 @@
 """Turns the terms of a query into a predicate; raises ``UserError``."""
 
 MAX_ROWS = 200
-"""Rows that are returned at the most where the question gives no number."""
+"""Maximum number of records returned if the query gives none."""
 
 
 def match_field(query: str) -> Callable[[holders_pb2.Record], bool]:
-    """Match ``field:value`` terms, all of them; an empty query matches all."""
+    """Return a predicate that requires all ``field:value`` terms; an empty query matches all.
+
+    Raises ``UserError`` for an unknown field.
+    """
     wanted = dict(_parse_term(term) for term in query.split())
 
     def matches(record: holders_pb2.Record) -> bool:
@@ -35,7 +38,7 @@
     records: Iterable[holders_pb2.Record],
     matcher: Matcher,
 ) -> holders_pb2.FindReply:
-    """Return what matches, one record for each request, newest first."""
+    """Return the matching records, one for each claim of a request, newest first."""
     try:
         matches = matcher(message.query)
     except UserError as error:
@@ -48,7 +51,7 @@
 
 
 def merge(records: Iterable[holders_pb2.Record]) -> list[holders_pb2.Record]:
-    """Return one record for each claim of a request, with the steps of all; newest first."""
+    """Merge the copies of each claim into one record with the steps of all; newest first."""
     claims: dict[tuple[str, str], list[holders_pb2.Record]] = {}
     for record in records:
         claims.setdefault((record.request_key, record.data_centre), []).append(record)
@@ -57,11 +60,11 @@
 
 
 def _combine(copies: list[holders_pb2.Record]) -> holders_pb2.Record:
-    """Return the fullest copy with the steps that any has.
+    """Return the most complete copy, with the steps of all copies.
 
     Failure: a holder dies after it wrote the record, and its successor writes what the
-    sidecars reported.  Symptom: the later record has no claim and no dispatch, and
-    support engineers are not told who took the request.
+    sidecars reported. Symptom: the later record has no claim and no dispatch step, and
+    support engineers can't see which router received the request.
     """
     fullest = max(copies, key=_fullness)
     if len(copies) == 1:
--- a/packages/fleet/src/endivesaddle/fleet/requests/finishing.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/finishing.py
@@ -1,4 +1,4 @@
-"""A router's part in the end of a request: settle, give back, leave."""
+"""The end of a request at its router: settlement, release, and callers that disconnect."""
 
 import anyio
 
@@ -13,16 +13,16 @@
 from endivesaddle.wire import holders_pb2, rpcs, runs_pb2
 
 MAX_UNSETTLED = 4096
-"""Settlements that one router goes on trying; the sidecars try theirs as well."""
+"""Settlements that one router retries at a time; the sidecars retry theirs as well."""
 
 
 class Finisher:
-    """Settles what a call came to, at its holder or in safe keeping until then."""
+    """Settles the outcome of a call at its holder, or copies it to a router until it can."""
 
     def __init__(
         self, context: Context, holder_client: HolderClient, background: BackgroundTasks
     ) -> None:
-        """Settle in the name of one router."""
+        """Initialize for the calls of one router."""
         self.unsettled = 0
         self._context = context
         self._holder_client = holder_client
@@ -30,10 +30,10 @@
         self._step_factory = StepFactory(context.identity, context.clock)
 
     async def settle(self, call: Call, outcome: str, used_tokens: int) -> None:
-        """Bring an outcome onto a second instance; the sidecar has it already.
+        """Store an outcome on a second instance; the sidecar has it already.
 
-        Where the holder can't be reached, any other router keeps a copy, and the
-        holder is tried again in the background.
+        If the holder can't be reached, another router keeps a copy, and the settlement is
+        retried in the background.
         """
         call.steps.append(self._step_factory.step('relayed', call.record.attempt, outcome))
         message = self._message(call, outcome, used_tokens)
@@ -46,13 +46,12 @@
             self.unsettled += 1
             self._background.start(self._keep_trying, message)
 
-    async def give_back(self, call: Call, status: int = 0) -> bool:
-        """Release the reservation of a claim that ran nowhere.
+    async def release(self, call: Call, status: int = 0) -> bool:
+        """Release the reservation of a claim under which nothing ran.
 
-        ``status`` is the one that the caller is told; 0 where nobody listens any more.
-
-        False where that isn't certain: another call may yet run it, or the holder
-        could not be told.
+        ``status`` is the HTTP status of the caller's refusal, 0 if the caller has
+        disconnected. Returns False if the release isn't certain: another call may still run
+        the request, or the holder could not be reached.
         """
         message = self._message(call, states.REFUSED, 0)
         message.ClearField('record')
@@ -61,15 +60,15 @@
         return reply is not None and reply.settled
 
     async def handle_departure(self, call: Call) -> None:
-        """Follow up a caller who went away: cancel what nobody else may want.
+        """Handle a caller that has disconnected: cancel its run unless others may need it.
 
-        A caller who named the request may come back with a retry, so it is
-        cancelled only after a while; the sidecar bills what was generated.
+        A caller that sent its own request id may come back with a retry, so its run is
+        cancelled only after ``cancel_after_s``; the sidecar bills what was generated.
         """
         if not call.record.request_key:
             self._name_claim(call)
         if call.record.state == states.CLAIMED:
-            await self.give_back(call)
+            await self.release(call)
             return
         alone = await self._note_departure(call)
         if not (alone and call.request.may_repeat):
@@ -81,7 +80,7 @@
             await self._cancel(call)
 
     def _name_claim(self, call: Call) -> None:
-        """Name a claim of which nothing was heard: it may be waiting, or granted."""
+        """Fill in the record of an unanswered claim, which may be pending or granted."""
         call.record.request_key = call.request.key
         call.record.account = call.request.account
         call.record.data_centre = self._context.identity.data_centre
@@ -103,14 +102,14 @@
         message = runs_pb2.CancelRequest(
             request_key=record.request_key,
             attempt=record.attempt,
-            reason='the caller went away',
+            reason='the caller disconnected',
             incarnation=record.sidecar_incarnation,
         )
         deadline_unix_s = self._context.now_s() + self._context.settings.call_s
         try:
             await self._context.peers.call(record.sidecar, rpcs.CANCEL, message, deadline_unix_s)
         except (PeerUnreachable, PeerSilent, PeerRefused):
-            # The sidecar stops at the caller's deadline by itself.
+            # The sidecar stops the run at the caller's deadline anyway.
             return
 
     def _message(self, call: Call, outcome: str, used_tokens: int) -> holders_pb2.SettleRequest:
@@ -135,7 +134,7 @@
         )
 
     async def _try(self, message: holders_pb2.SettleRequest) -> bool:
-        """Settle, with the full record only for a holder that has lost it."""
+        """Settle, sending the full record only to a holder that doesn't have it."""
         short = holders_pb2.SettleRequest()
         short.CopyFrom(message)
         short.ClearField('record')
--- a/packages/fleet/src/endivesaddle/fleet/requests/following.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/following.py
@@ -1,4 +1,4 @@
-"""Following one run's answer by offset, until its end or until its sidecar is lost."""
+"""Reading of a run's answer by offset, until its end or until its sidecar is lost."""
 
 from collections.abc import AsyncGenerator
 
@@ -13,20 +13,20 @@
 from endivesaddle.wire import rpcs, runs_pb2
 
 FORGOTTEN = frozenset(('no_such_run', 'other_attempt', 'answer_dropped'))
-"""Codes of an end that says nothing of the run itself."""
+"""Codes of an end that means the answer isn't available; it gives no outcome of the run."""
 
 
 class Follower:
-    """Yields the bytes of one attempt's answer, each once and in order.
+    """Yields the bytes of one attempt's answer, each byte once and in order.
 
-    Failure: chunks come late, twice, or from another attempt or request.
-    Symptom: a caller reads another's answer, or a mix of two runs.  Every chunk
-    names its request, attempt and offset; what doesn't continue what was
-    yielded is dropped, and a gap is followed anew from the offset reached.
+    Failure: chunks arrive late, twice, or from another attempt or request. Symptom: a
+    caller reads the answer of another request, or a mix of two runs. Every chunk carries
+    its request, attempt and offset, so chunks that don't continue the answer are dropped;
+    after a gap, the answer is requested again from the offset reached.
     """
 
     def __init__(self, context: Context, request: CallerRequest, placed: PlacedAttempt) -> None:
-        """Follow from the first byte."""
+        """Initialize to read from the first byte."""
         self.placed = placed
         self.head: runs_pb2.Head | None = None
         self.end: runs_pb2.End | None = None
@@ -37,10 +37,10 @@
         self._loss_detector = LossDetector(context, request.may_repeat)
 
     async def pieces(self) -> AsyncGenerator[bytes, None]:
-        """Yield the answer's data; ``head`` is set before the first, ``end`` at last.
+        """Yield the data of the answer; ``head`` is set before the first piece.
 
-        An empty piece tells that the head came.  Raises ``RunLost`` or
-        ``RunForgotten``.
+        An empty piece means that the head has arrived; ``end`` is set when all data has
+        been yielded. Raises ``RunLost`` or ``RunForgotten``.
         """
         while self.end is None:
             try:
@@ -69,7 +69,7 @@
                 yield piece
             if self.end is not None:
                 return
-        raise PeerUnreachable('the answer stopped or left out bytes')
+        raise PeerUnreachable('the answer stopped or skipped bytes')
 
     def _belongs(self, chunk: runs_pb2.Chunk) -> bool:
         names = (self._request.key, self.placed.attempt)
--- a/packages/fleet/src/endivesaddle/fleet/requests/front.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/front.py
@@ -1,4 +1,4 @@
-"""What callers' requests are handed to in a router."""
+"""The entry point of a router for callers' requests."""
 
 import asyncio
 from typing import Any
@@ -20,7 +20,7 @@
 
 
 class RequestFront:
-    """The port ``Front``: claims, routes and runs a request, or attaches to its run."""
+    """Claims, routes and runs a request, or attaches to its run; implements ``Front``."""
 
     def __init__(
         self,
@@ -32,7 +32,7 @@
         view: FleetView,
         clock: Clock,
     ) -> None:
-        """Serve callers in the name of one router."""
+        """Initialize for the callers of one router."""
         self._background = BackgroundTasks()
         self._identity = identity
         self._counters = Counters()
@@ -46,7 +46,7 @@
         )
 
     async def run(self) -> None:
-        """Settle and cancel what callers left behind, until cancelled."""
+        """Run the background settlements and cancellations until cancelled."""
         await self._background.run()
 
     async def serve(self, request: CallerRequest) -> Answer | Refusal:
@@ -65,7 +65,7 @@
         return result
 
     def dump(self) -> dict[str, Any]:
-        """Return the state for the dump of the process."""
+        """Return the state for the state dump of the process."""
         return {
             'calls': [
                 {
@@ -80,7 +80,7 @@
         }
 
     def counters(self) -> dict[str, float]:
-        """Return counters for metrics."""
+        """Return the counters for metrics, by name."""
         return {
             **self._counters.read(),
             'calls': len(self._calls),
--- a/packages/fleet/src/endivesaddle/fleet/requests/records.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/records.py
@@ -1,4 +1,4 @@
-"""Records of requests for support engineers: kept in the store, found from any router."""
+"""Records of requests for support engineers, kept in the store and found from any router."""
 
 from collections import deque
 from collections.abc import Callable, Sequence
@@ -28,14 +28,14 @@
 from endivesaddle.wire import holders_pb2, rpcs
 
 STORE_S = 2.0
-"""Deadline of one call to the store."""
+"""Timeout of one call to the store."""
 
 
 class Recorder:
     """Writes ended records into a ring of slots for each shard and data centre.
 
-    The slot follows from the time, so that a new holder needs no state to go on,
-    old records are written over, and the store's size and rate are bounded.
+    The slot is derived from the time, so that a new holder needs no state to continue, old
+    records are overwritten, and the size of the data and the write rate are bounded.
     """
 
     def __init__(  # noqa: WPS211 (the ports of a router, and a hook)
@@ -49,7 +49,7 @@
         store: Store,
         matcher: Matcher = match_field,
     ) -> None:
-        """Record for one router; ``add`` is the hook for ``Claims``."""
+        """Initialize for one router; ``add`` is the hook for ``Claims``."""
         self._context = Context(settings, identity, budgets, peers, view, clock)
         self._store = store
         self._matcher = matcher
@@ -58,20 +58,20 @@
         self._dropped = 0
 
     def add(self, record: holders_pb2.Record) -> None:
-        """Take an ended record; the oldest is dropped where too many wait."""
+        """Queue an ended record; the oldest one is dropped if the queue is full."""
         if len(self._queue) >= self._context.settings.record_queue:
             self._queue.popleft()
             self._drop(1)
         self._queue.append(record)
 
     async def run(self) -> None:
-        """Write what has ended, again and again, until cancelled."""
+        """Write ended records every ``record_every_s`` until cancelled."""
         while True:
             await anyio.sleep(self._context.settings.record_every_s)
             await self.flush()
 
     async def flush(self) -> None:
-        """Write what has ended into this period's slots."""
+        """Write the queued records into the slots of this period."""
         waiting: dict[int, list[holders_pb2.Record]] = {}
         while self._queue:
             record = self._queue.popleft()
@@ -81,13 +81,13 @@
             try:
                 left = await self._write(shard, records)
             except (StoreUnreachable, StoreUnsure, BrokenBatch) as error:
-                # After a lost answer they are merged with what was written.
+                # If only the reply was lost, the retry merges them with the written batch.
                 RECORDS_DELAYED.log(shard=shard, reason=str(error), records=len(left))
             for record in left:
                 self.add(record)
 
     async def find(self, message: holders_pb2.FindRequest) -> holders_pb2.FindReply:
-        """Find records: at the holders of the account, then in the store."""
+        """Find records at the holders of the account and in the store."""
         if message.request_key and not message.account:
             message.account = message.request_key.partition('/')[0]
         replies = [*await self._ask(message), await self.find_stored(message)]
@@ -99,7 +99,7 @@
         return found
 
     async def find_stored(self, message: holders_pb2.FindRequest) -> holders_pb2.FindReply:
-        """Find records in the store alone."""
+        """Find records in the store only."""
         shards = [shard_of(message.account)] if message.account else range(SHARDS)
         records: list[holders_pb2.Record] = []
         try:
@@ -115,11 +115,11 @@
         return find_in(message, records, self._matcher)
 
     def dump(self) -> dict[str, Any]:
-        """Return the state for the dump of the process."""
+        """Return the state for the state dump of the process."""
         return self.counters()
 
     def counters(self) -> dict[str, float]:
-        """Return counters for metrics."""
+        """Return the counters for metrics, by name."""
         return {
             'records_waiting': len(self._queue),
             'records_written': self._written,
@@ -138,13 +138,13 @@
         before = await self._store.read(key, deadline_unix_s)
         filled = batches.fill(_batch(before, period), records, settings.record_bytes)
         if not filled.value:
-            return filled.left
+            return filled.rest
         version = 0 if isinstance(before, Absent) else before.version
         written = await self._store.swap(key, filled.value, version, deadline_unix_s)
         if isinstance(written, Conflict):
             return list(records)
-        self._written += len(records) - len(filled.left)
-        return filled.left
+        self._written += len(records) - len(filled.rest)
+        return filled.rest
 
     def _drop(self, count: int) -> None:
         self._dropped += count
@@ -175,12 +175,12 @@
         try:
             take(await self._context.peers.call(address, rpcs.FIND, message, deadline_unix_s))
         except (PeerUnreachable, PeerSilent, PeerRefused):
-            silent = address or 'a holder that is not known'
+            silent = address or 'an unknown holder'
             take(holders_pb2.FindReply(reason=f'{silent} did not answer'))
 
 
 def _batch(stored: Stored | Absent, period: int) -> holders_pb2.Batch:
-    """Return what a slot holds of this turn of the ring; an older turn is written over."""
+    """Return the batch of a slot for this period; one of an older period is overwritten."""
     fresh = holders_pb2.Batch(period=period)
     if isinstance(stored, Absent) or not stored.value:
         return fresh
--- a/packages/fleet/src/endivesaddle/fleet/requests/refusals.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/refusals.py
@@ -1,7 +1,7 @@
-"""Every refusal that the life of a request can end in; docs/REQUESTS.md lists them.
+"""All refusals that can end a request; docs/REQUESTS.md lists them.
 
-``not_run`` must be the truth: "true" only where no backend server got the
-request nor will.  Codes are stable.
+``not_run`` must never claim too much: it is "true" only if no backend server has received
+the request or ever will. Codes are stable.
 """
 
 from http import HTTPStatus
@@ -12,7 +12,7 @@
 
 
 class Kind(NamedTuple):
-    """One kind of refusal: its stable code, status, text and what may be done."""
+    """A kind of refusal: its stable code, HTTP status, text and time to retry after."""
 
     code: str
     status: int
@@ -20,7 +20,7 @@
     retry_after_s: float = 0
 
     def refuse(self, not_run: str, detail: str = '') -> Refusal:
-        """Return the refusal; ``detail`` is put after the text."""
+        """Return the refusal, with ``detail`` appended to its text."""
         reason = f'{self.reason}: {detail}' if detail else self.reason
         return Refusal(self.code, reason, not_run, self.status, self.retry_after_s)
 
@@ -106,7 +106,7 @@
 
 
 def weaken(refusal: Refusal, not_run: str) -> Refusal:
-    """Return a refusal that promises no more than ``not_run``."""
+    """Return the refusal with the less certain of its ``not_run`` and the given one."""
     weaker = max(refusal.not_run, not_run, key=_CERTAINTY.index)
     return refusal._replace(not_run=weaker)
 
--- a/packages/fleet/src/endivesaddle/fleet/requests/refused_claims.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/refused_claims.py
@@ -1,8 +1,8 @@
-"""What callers were told of claims that were refused, for support engineers alone.
+"""Refused claims and the refusals sent to their callers, for support engineers.
 
-Nothing is decided by it: a refused request may be claimed anew.  It lies apart from
-the table, so that a flood of refusals never pushes out, or leaves no room for, a
-request that ran.
+They influence no decision: a refused request may be claimed again. They are kept apart from
+the table, so that a flood of refusals never evicts, or leaves no room for, a request that
+has run.
 """
 
 from collections import OrderedDict
@@ -14,14 +14,14 @@
 from endivesaddle.wire import holders_pb2
 
 MAX_REFUSALS = 8
-"""Refusals kept of one request that is retried again and again: the newest."""
+"""Refusals kept for one request that is retried repeatedly: the newest ones."""
 
 
 class RefusedClaims:
-    """The newest refused claims by request key, packed."""
+    """The newest refused claims by request key, serialized."""
 
     def __init__(self, most: int) -> None:
-        """Remember ``most`` at the most."""
+        """Initialize with room for ``most`` requests."""
         self._most = most
         self._packed: OrderedDict[str, bytes] = OrderedDict()
 
@@ -30,7 +30,7 @@
         return len(self._packed)
 
     def add(self, record: holders_pb2.Record) -> None:
-        """Remember a refusal, with the earlier ones of the same request."""
+        """Add a refusal to the earlier ones of the same request."""
         steps = [*self.take(record.request_key), *record.steps][-MAX_REFUSALS:]
         record.ClearField('steps')
         record.steps.extend(steps)
@@ -39,12 +39,12 @@
             self._packed.popitem(last=False)
 
     def take(self, request_key: str) -> list[holders_pb2.Step]:
-        """Return what was told of a request, and forget it."""
+        """Remove the refusals of a request and return their steps."""
         packed = self._packed.pop(request_key, b'')
         return list(holders_pb2.Record.FromString(packed).steps)
 
     def records(self) -> Iterator[holders_pb2.Record]:
-        """Yield all records, the oldest first."""
+        """Yield all records, oldest first."""
         for packed in list(self._packed.values()):
             yield holders_pb2.Record.FromString(packed)
 
@@ -69,7 +69,7 @@
     step: holders_pb2.Step,
     data_centre: str,
 ) -> holders_pb2.Record:
-    """Return the record of a refused claim; of no epoch, so that any claim goes before it."""
+    """Return the record of a refused claim; it has no epoch, so any claim supersedes it."""
     return holders_pb2.Record(
         request_key=message.request_key,
         account=message.account,
--- a/packages/fleet/src/endivesaddle/fleet/requests/relaying.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/relaying.py
@@ -1,4 +1,4 @@
-"""Handing an answer to the caller as it comes."""
+"""Relaying of an answer to the caller as it arrives."""
 
 from collections.abc import AsyncGenerator, AsyncIterator, Awaitable, Callable
 from typing import Final
@@ -12,18 +12,18 @@
 from endivesaddle.wire import runs_pb2
 
 DONE: Final = b'data: [DONE]'
-"""After this a caller takes a streamed answer for complete."""
+"""The event after which a caller regards a streamed answer as complete."""
 
 OnEnd = Callable[[runs_pb2.End | None], Awaitable[None]]
 
 
 class Relay:
-    """An answer's bytes; the caller pulls, so that a slow one holds nothing up.
+    """The bytes of an answer, as an iterator that the caller's connection reads at its pace.
 
-    The end is handed out only after ``on_end`` has settled the request: else a
-    caller could have a whole answer of which no second instance knows.  A class
-    and not a generator, because one that was never begun tells nobody when it is
-    closed, and the run would go on for a caller who is gone.
+    The end is yielded only after ``on_end`` has settled the request: otherwise a caller
+    could have a whole answer of which no second instance knows. This is a class and not a
+    generator, because closing a generator that was never started runs none of its code,
+    and the run would continue for a caller that has disconnected.
     """
 
     def __init__(
@@ -34,7 +34,7 @@
         on_end: OnEnd,
         on_leave: Callable[[], None],
     ) -> None:
-        """Hand out ``first``, then the rest; ``on_leave`` is called if it is closed early."""
+        """Yield ``first``, then ``pieces``; ``on_leave`` is called if closed before the end."""
         self._follower = follower
         self._pieces = pieces
         self._first = first
@@ -54,12 +54,12 @@
         except (AnswerBroken, StopAsyncIteration):
             raise
         except BaseException:
-            # Cancelled: the caller is gone, or this router stops.
+            # Cancelled: the caller has disconnected, or this router is stopping.
             self._leave()
             raise
 
     async def aclose(self) -> None:
-        """Stop; the run is given up unless its end was reached."""
+        """Close the answer; the run is abandoned unless its end was reached."""
         self._leave()
         await self._output.aclose()
         await self._pieces.aclose()
--- a/packages/fleet/src/endivesaddle/fleet/requests/retry_query_handler.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/retry_query_handler.py
@@ -1,4 +1,4 @@
-"""What a holder answers to the question of a retry in another data centre."""
+"""Replies of a holder to queries about a possible retry in another data centre."""
 
 from endivesaddle.fleet.requests import states
 from endivesaddle.fleet.requests.context import Context
@@ -11,7 +11,7 @@
 
 
 class RetryQueryHandler:
-    """Tells what is known of a request here, and plants a mark where nothing is."""
+    """Replies with the record of a request, or marks the request if none is known."""
 
     def __init__(
         self,
@@ -21,7 +21,7 @@
         marks: RetryMarks,
         pending: dict[str, Pending],
     ) -> None:
-        """Answer from the table, the copies and the claims under way."""
+        """Reply from the table, the copies and the pending claims."""
         self.asked = 0
         self._context = context
         self._table = table
@@ -30,7 +30,7 @@
         self._pending = pending
 
     async def ask(self, message: holders_pb2.AskRequest) -> holders_pb2.AskReply:
-        """Answer a question."""
+        """Reply to a query of another data centre."""
         budgets = self._context.budgets
         held = budgets.held(message.account)
         if isinstance(held, NotHolder):
@@ -62,7 +62,7 @@
             entry.calls |= {message.call_id}
 
     def _yield_to(self, message: holders_pb2.AskRequest) -> bool:
-        """Let a crossing claim go first, if the fixed order of the two says so."""
+        """Yield to a crossing claim if it has precedence; return False if it has not."""
         pending = self._pending.get(message.request_key)
         if pending is None or not message.call_id:
             return True
--- a/packages/fleet/src/endivesaddle/fleet/requests/settling.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/settling.py
@@ -1,4 +1,4 @@
-"""Settling at the holder: each request is billed once, whoever reports it."""
+"""Settlement at the holder: each request is billed once, whichever instance reports it."""
 
 from collections.abc import Callable
 
@@ -13,9 +13,9 @@
 
 
 class Settler:
-    """Brings a claim to its end and its bill to the budget.
+    """Closes claims and settles their usage in the budget.
 
-    ``ended(record)`` is told of each record that is complete.
+    ``ended(record)`` is called with each complete record.
     """
 
     def __init__(self, context: Context, table: Table, ended: Ended) -> None:
@@ -26,15 +26,15 @@
         self._ended = ended
 
     def settle(self, entry: Entry, message: holders_pb2.SettleRequest) -> holders_pb2.SettleReply:
-        """Take in a report of the outcome; a repeated one changes nothing."""
+        """Apply a report of an outcome; a repeated report changes nothing."""
         record = entry.record
         if message.outcome == states.REFUSED:
-            return self._give_back(entry, message)
+            return self._release_unused(entry, message)
         append(record, *message.steps)
         if not entry.open and record.state != states.UNKNOWN:
             return _settled(record)
         if message.attempt < record.attempt and not self._accept_late_answer(entry, message):
-            # A newer attempt was dispatched: it is the one that the caller hears.
+            # A newer attempt was dispatched, and the caller gets the answer of that one.
             LATE_ATTEMPT.log(request_key=record.request_key, attempt=message.attempt)
             self._note_usage(entry, message)
             return _settled(record)
@@ -46,13 +46,12 @@
         return _settled(record)
 
     def add_reported(self, record: holders_pb2.Record) -> Entry:
-        """Remember a claim of which another instance reports, ready to be settled.
+        """Add a claim that another instance reports, in a state that can be settled.
 
-        Failure: a provisional run is reported by its sidecar to a holder that has
-        followed the one which granted it.  Symptom: it is billed here and in the
-        other data centre.  Only holders know what is provisional, so that the
-        others are asked about what no holder told; it gives way only to a bill
-        that is certain.
+        Failure: a sidecar reports a provisional run to the successor of the holder that
+        granted it. Symptom: the run is billed here and in the other data centre. Only
+        holders know which runs are provisional, so the other data centres are queried about
+        every run that no holder reported; such a run yields only to a certain bill.
         """
         own = holders_pb2.Record()
         own.CopyFrom(record)
@@ -63,10 +62,10 @@
         return entry
 
     def close_unreported(self, entry: Entry) -> None:
-        """Close a claim that nobody reported by its stored deadline.
+        """Close a claim whose outcome was not reported by its stored deadline.
 
-        What an earlier attempt reported is billed; else the worst case, because
-        tokens that were generated and not billed would overspend the budget.
+        The usage that an earlier attempt reported is billed. Without one, the worst case
+        is: tokens generated and not billed would overspend the budget.
         """
         record = entry.record
         reported = entry.reported_tokens
@@ -75,10 +74,10 @@
         self._end(entry, states.UNKNOWN, used_tokens)
 
     def close_claimed(self, entry: Entry) -> None:
-        """Close a claim past its deadline that no attempt is dispatched of.
+        """Close a claim that is past its deadline and has no dispatched attempt.
 
-        A late dispatch is refused from now on.  An attempt that was given up may
-        still be reported until the stored deadline for that.
+        A later dispatch is refused from now on. An attempt that was given up may still be
+        reported until the stored deadline for reports.
         """
         record = entry.record
         if entry.reported_tokens >= 0 or entry.may_have_run and self.report_deadline_passed(record):
@@ -96,33 +95,33 @@
         return self._context.now_s() >= record.deadline_unix_s + settle_until_s
 
     def close_not_run(self, entry: Entry, reason: str) -> None:
-        """Close a claim that certainly ran nowhere, nor will."""
+        """Close a claim that certainly has not run and never will."""
         record = entry.record
         record.state = states.REFUSED
         record.outcome = states.REFUSED
         self.finish(entry, 0, reason)
 
     def finish(self, entry: Entry, used_tokens: int, detail: str) -> None:
-        """Close a claim and bill it, unless other data centres have to be asked first."""
+        """Close a claim and bill it, unless other data centres have to be queried first."""
         record = entry.record
         record.ended_unix_s = self._context.now_s()
         record.used_tokens = used_tokens
         append(record, self._step_factory.step(record.state, record.attempt, detail))
         if record.unasked and used_tokens:
-            # Provisional: the tokens stay reserved until all data centres were
-            # asked, so that the request is billed in one place only.
+            # Provisional: the tokens stay reserved until all data centres have replied, so
+            # that the request is billed in one place only.
             self._table.schedule(record.request_key, self._table.due_unix_s(entry))
             return
         self.bill(entry, used_tokens)
 
     def release(self, entry: Entry) -> None:
-        """Give a claim's reservation back; the request is billed under another epoch."""
+        """Release the reservation of a claim whose request is billed under another epoch."""
         record = entry.record
         self._context.budgets.settle(record.account, record.request_key, record.epoch, 0)
         entry.billed = True
 
     def bill(self, entry: Entry, used_tokens: int) -> None:
-        """Settle the budget and tell that the record is complete."""
+        """Settle the usage in the budget and pass the complete record to ``ended``."""
         record = entry.record
         record.used_tokens = self._context.budgets.settle(
             record.account, record.request_key, record.epoch, used_tokens
@@ -132,7 +131,7 @@
         self._table.schedule(record.request_key, self._table.due_unix_s(entry))
         self._ended(record)
 
-    def _give_back(
+    def _release_unused(
         self, entry: Entry, message: holders_pb2.SettleRequest
     ) -> holders_pb2.SettleReply:
         record = entry.record
@@ -144,15 +143,18 @@
         if record.state != states.CLAIMED or overtaken:
             return holders_pb2.SettleReply(reason=states.OUTRUN)
         if entry.calls:
-            # Another call of the same request waits here: it may yet run it, so
-            # this caller must not hear "not run".
+            # Another call of the same request is waiting and may still run it, so this
+            # caller must not get "not run".
             return holders_pb2.SettleReply(reason=states.OTHERS_ATTACHED)
         record.refusal_status = message.refusal_status
-        self.close_not_run(entry, 'given back')
+        self.close_not_run(entry, 'reservation released')
         return _settled(record)
 
     def _accept_late_answer(self, entry: Entry, message: holders_pb2.SettleRequest) -> bool:
-        """Take a given up attempt's answer where none is under way in its place."""
+        """Accept the answer of an attempt that was given up, if none has replaced it.
+
+        Returns False if the answer is not accepted.
+        """
         lost = entry.lost
         answered = message.outcome == states.ANSWERED and entry.record.state == states.CLAIMED
         if not answered or lost is None or lost.attempt != message.attempt:
@@ -161,7 +163,7 @@
         return True
 
     def _failed(self, entry: Entry, message: holders_pb2.SettleRequest) -> holders_pb2.SettleReply:
-        # From the sidecar, when no router ran the request again for a while.
+        # The sidecar reports this after a while in which no router ran the request again.
         self._note_usage(entry, message)
         self._end(entry, states.FAILED, entry.reported_tokens)
         return _settled(entry.record)
@@ -169,7 +171,7 @@
     def _unknown(self, entry: Entry, message: holders_pb2.SettleRequest) -> holders_pb2.SettleReply:
         record = entry.record
         if not message.call_id:
-            # The sidecar itself can't tell more: what it saw generated is billed.
+            # The sidecar itself doesn't know more, so the usage it has seen is billed.
             if message.used_tokens:
                 self._note_usage(entry, message)
             self.close_unreported(entry)
--- a/packages/fleet/src/endivesaddle/fleet/requests/starting.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/starting.py
@@ -1,4 +1,4 @@
-"""Starting an attempt at its sidecar."""
+"""Start of an attempt at its sidecar."""
 
 import enum
 from typing import NamedTuple
@@ -14,15 +14,15 @@
 
 
 class Start(enum.Enum):
-    """What came of starting an attempt."""
+    """The result of starting an attempt."""
 
-    RUNNING = 'it runs, or has run'
-    NOT_RUN = 'it did not run there, nor will it by this call'
+    RUNNING = 'it is running or has run'
+    NOT_RUN = 'it has not run and this call will not start it'
     LOST = 'it may have run'
 
 
 class StartOutcome(NamedTuple):
-    """What came of it, which attempt runs there, and the sidecar's words."""
+    """The result, the attempt that runs at the sidecar, and the reason given."""
 
     start: Start
     attempt: int
@@ -30,22 +30,22 @@
 
 
 class Starter:
-    """Sends START until the sidecar has answered or counts as lost.
+    """Sends START until the sidecar has replied or counts as lost.
 
-    A START is idempotent at one incarnation of a sidecar, which the message names.
+    A START is idempotent within one incarnation of a sidecar, which the message names.
     """
 
     def __init__(self, context: Context) -> None:
-        """Start in the name of one router."""
+        """Initialize for the calls of one router."""
         self._context = context
 
     async def start(
         self, call: Call, placed: PlacedAttempt, holder: str, own: bool
     ) -> StartOutcome:
-        """Start an attempt; ``own`` tells that this call dispatched it.
+        """Start an attempt; ``own`` is set if this call dispatched it.
 
-        An attempt that another call's router dispatched may have been started by
-        it: only the sidecar's own word then tells that it did not run.
+        An attempt dispatched by the router of another call may have been started by that
+        router: then only a reply of the sidecar proves that the attempt did not run.
         """
         message = self._message(call, placed, holder)
         loss_detector = LossDetector(self._context, call.request.may_repeat)
@@ -70,10 +70,10 @@
             await anyio.sleep(self._context.settings.retry_pause_s)
 
     async def stop(self, call: Call, placed: PlacedAttempt, reason: str) -> bool:
-        """Make sure that an attempt which did not start never will, whoever sends it.
+        """Prevent an attempt that did not start from being started later by any router.
 
-        A cancel that finds no run leaves a mark at the sidecar; False where the
-        sidecar can't say so.
+        A CANCEL that finds no run leaves a mark at the sidecar, which then refuses a START.
+        Returns False if the sidecar doesn't confirm that the attempt did not run.
         """
         message = runs_pb2.CancelRequest(
             request_key=call.request.key,
