--- a/packages/fleet/src/endivesaddle/fleet/routes/carrying.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/execution.py
@@ -54,7 +54,7 @@
     body: bytes
 
 
-class CarryingParts(NamedTuple):
+class ExecutionParts(NamedTuple):
     """What requests are carried with."""
 
     dispatcher: Dispatcher
@@ -69,11 +69,11 @@
     await sink.refuse(refusal)
 
 
-class Carrying:
+class Execution:
     """One request under way."""
 
     def __init__(
-        self, parts: CarryingParts, request: ForwardRequest, sink: Sink, progress: Progress
+        self, parts: ExecutionParts, request: ForwardRequest, sink: Sink, progress: Progress
     ) -> None:
         """Carry ``request``, answering to ``sink``."""
         self.request = request
--- a/packages/fleet/src/endivesaddle/fleet/routes/running.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/running.py
@@ -4,8 +4,8 @@
 
 from endivesaddle.fleet.clock import Clock
 from endivesaddle.fleet.routes import run_events as events
-from endivesaddle.fleet.routes.carrying import Carrying, CarryingParts, refuse
 from endivesaddle.fleet.routes.crash_watch import CrashWatch
+from endivesaddle.fleet.routes.execution import Execution, ExecutionParts, refuse
 from endivesaddle.fleet.routes.forwarded import ForwardRequest, ServerLinks, Sink
 from endivesaddle.fleet.routes.prepaid_pools import PrepaidPools
 from endivesaddle.fleet.routes.progress import Progress
@@ -25,7 +25,7 @@
     ) -> None:
         """Carry requests over ``links``."""
         crashes = CrashWatch(dispatcher.crashes, dispatcher.known, links, clock)
-        self.parts = CarryingParts(dispatcher, links, clock, crashes)
+        self.parts = ExecutionParts(dispatcher, links, clock, crashes)
         self._pools = pools
 
     async def serve(self, request: ForwardRequest, sink: Sink) -> None:
@@ -44,7 +44,7 @@
             return
         progress = Progress(request, self.parts.dispatcher.event_tokens(request))
         try:
-            await self._bounded(Carrying(self.parts, request, sink, progress))
+            await self._bounded(Execution(self.parts, request, sink, progress))
         finally:
             reservation.settle(progress.spent_tokens)
             events.SETTLED.log(
@@ -56,10 +56,10 @@
                 events=progress.events,
             )
 
-    async def _bounded(self, carrying: Carrying) -> None:
-        left_s = carrying.request.end_unix_s + GRACE_S - self.parts.clock.now_s()
+    async def _bounded(self, execution: Execution) -> None:
+        left_s = execution.request.end_unix_s + GRACE_S - self.parts.clock.now_s()
         limit = anyio.move_on_after(max(0, left_s))
         with limit:
-            await carrying.run()
+            await execution.run()
         if limit.cancelled_caught:
-            await carrying.timed_out()
+            await execution.timed_out()
