--- a/packages/fleet/src/endivesaddle/fleet/routes/crash_watch.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/crash_detection.py
@@ -40,7 +40,7 @@
     listens: bool = False
 
 
-class CrashWatch:
+class CrashDetector:
     """Broken runs of one router."""
 
     def __init__(
--- a/packages/fleet/src/endivesaddle/fleet/routes/execution.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/execution.py
@@ -11,7 +11,7 @@
 from endivesaddle.fleet.clock import Clock
 from endivesaddle.fleet.interfaces import NeverSent, ServerLeft, ServerLost, ServerRefused
 from endivesaddle.fleet.routes import run_events as events
-from endivesaddle.fleet.routes.crash_watch import CrashWatch
+from endivesaddle.fleet.routes.crash_detection import CrashDetector
 from endivesaddle.fleet.routes.declared import RouteServer
 from endivesaddle.fleet.routes.forwarded import (
     ForwardRequest,
@@ -60,7 +60,7 @@
     dispatcher: Dispatcher
     links: ServerLinks
     clock: Clock
-    crashes: CrashWatch
+    crashes: CrashDetector
 
 
 async def refuse(request: ForwardRequest, sink: Sink, refusal: Refusal) -> None:
--- a/packages/fleet/src/endivesaddle/fleet/routes/running.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/running.py
@@ -4,7 +4,7 @@
 
 from endivesaddle.fleet.clock import Clock
 from endivesaddle.fleet.routes import run_events as events
-from endivesaddle.fleet.routes.crash_watch import CrashWatch
+from endivesaddle.fleet.routes.crash_detection import CrashDetector
 from endivesaddle.fleet.routes.execution import Execution, ExecutionParts, refuse
 from endivesaddle.fleet.routes.forwarded import ForwardRequest, ServerLinks, Sink
 from endivesaddle.fleet.routes.prepaid_pools import PrepaidPools
@@ -24,7 +24,7 @@
         self, dispatcher: Dispatcher, pools: PrepaidPools, links: ServerLinks, clock: Clock
     ) -> None:
         """Carry requests over ``links``."""
-        crashes = CrashWatch(dispatcher.crashes, dispatcher.known, links, clock)
+        crashes = CrashDetector(dispatcher.crashes, dispatcher.known, links, clock)
         self.parts = ExecutionParts(dispatcher, links, clock, crashes)
         self._pools = pools
 
