--- a/packages/fleet/src/endivesaddle/fleet/routes/crash_detection.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/crash_detection.py
@@ -14,7 +14,7 @@
 from endivesaddle.fleet.clock import Clock
 from endivesaddle.fleet.interfaces import NeverSent, ServerRefused
 from endivesaddle.fleet.routes.declared import RouteServer
-from endivesaddle.fleet.routes.forwarded import ServerLinks
+from endivesaddle.fleet.routes.forwarded import ServerConnections
 from endivesaddle.fleet.routes.known import Known
 from endivesaddle.fleet.routing import crash_events as events
 from endivesaddle.fleet.routing.crash_records import CrashRecords, EndedRun
@@ -44,7 +44,7 @@
     """Broken runs of one router."""
 
     def __init__(
-        self, records: CrashRecords, known: Known, links: ServerLinks, clock: Clock
+        self, records: CrashRecords, known: Known, links: ServerConnections, clock: Clock
     ) -> None:
         """Note in ``records`` which requests ran at servers that ended."""
         self._records = records
--- a/packages/fleet/src/endivesaddle/fleet/routes/execution.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/execution.py
@@ -15,9 +15,9 @@
 from endivesaddle.fleet.routes.declared import RouteServer
 from endivesaddle.fleet.routes.forwarded import (
     ForwardRequest,
-    ServerAnswer,
     ServerCall,
-    ServerLinks,
+    ServerConnections,
+    ServerResponse,
     Sink,
 )
 from endivesaddle.fleet.routes.progress import Progress
@@ -58,7 +58,7 @@
     """What requests are carried with."""
 
     dispatcher: Dispatcher
-    links: ServerLinks
+    links: ServerConnections
     clock: Clock
     crashes: CrashDetector
 
@@ -177,7 +177,7 @@
         )
         return outcome
 
-    async def _answered(self, placement: Placement, answer: ServerAnswer) -> Outcome:
+    async def _answered(self, placement: Placement, answer: ServerResponse) -> Outcome:
         if answer.misdirected:
             self._progress.not_run()
             placement.mark_misdirected()
@@ -197,7 +197,7 @@
             return await self._stream(placement, answer)
         return await self._pass_whole(placement, answer)
 
-    async def _stream(self, placement: Placement, answer: ServerAnswer) -> Outcome:
+    async def _stream(self, placement: Placement, answer: ServerResponse) -> Outcome:
         async for event in answer.events():
             placement.first_event()
             if not self._progress.fresh(event):
@@ -213,7 +213,7 @@
         self._log_answered(placement, answer.status)
         return Outcome.DONE
 
-    async def _pass_whole(self, placement: Placement, answer: ServerAnswer) -> Outcome:
+    async def _pass_whole(self, placement: Placement, answer: ServerResponse) -> Outcome:
         body = await answer.whole()
         whole = Whole(answer.status, answer.headers, body)
         if answer.status >= FAILURES:
--- a/packages/fleet/src/endivesaddle/fleet/routes/forwarded.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/forwarded.py
@@ -98,7 +98,7 @@
     may_send: Callable[[], bool]
 
 
-class ServerAnswer(Protocol):
+class ServerResponse(Protocol):
     """The head of a server's answer, and its body on demand.
 
     ``own`` tells that it answers this request, ``sealed`` that the server vouches
@@ -122,10 +122,10 @@
         """Return the whole body."""
 
 
-class ServerLinks(Protocol):
+class ServerConnections(Protocol):
     """Connections to the servers."""
 
-    def exchange(self, call: ServerCall) -> AbstractAsyncContextManager[ServerAnswer]:
+    def exchange(self, call: ServerCall) -> AbstractAsyncContextManager[ServerResponse]:
         """Send a request and give its answer.
 
         Raises ``NeverSent`` where the server did not get it (``ServerLeft`` where it
--- a/packages/fleet/src/endivesaddle/fleet/routes/running.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/running.py
@@ -6,7 +6,7 @@
 from endivesaddle.fleet.routes import run_events as events
 from endivesaddle.fleet.routes.crash_detection import CrashDetector
 from endivesaddle.fleet.routes.execution import Execution, ExecutionParts, refuse
-from endivesaddle.fleet.routes.forwarded import ForwardRequest, ServerLinks, Sink
+from endivesaddle.fleet.routes.forwarded import ForwardRequest, ServerConnections, Sink
 from endivesaddle.fleet.routes.prepaid_pools import PrepaidPools
 from endivesaddle.fleet.routes.progress import Progress
 from endivesaddle.fleet.routes.reservation import Reservation
@@ -21,7 +21,7 @@
     """Serves requests of one router; ``serve`` carries one from start to end."""
 
     def __init__(
-        self, dispatcher: Dispatcher, pools: PrepaidPools, links: ServerLinks, clock: Clock
+        self, dispatcher: Dispatcher, pools: PrepaidPools, links: ServerConnections, clock: Clock
     ) -> None:
         """Carry requests over ``links``."""
         crashes = CrashDetector(dispatcher.crashes, dispatcher.known, links, clock)
--- a/packages/fleet/src/endivesaddle/fleet/routing/dispatcher.py
+++ b/packages/fleet/src/endivesaddle/fleet/routing/dispatcher.py
@@ -6,7 +6,7 @@
 
 from endivesaddle.fleet.clock import Clock
 from endivesaddle.fleet.routes.declared import Route
-from endivesaddle.fleet.routes.forwarded import ForwardRequest, ServerAnswer
+from endivesaddle.fleet.routes.forwarded import ForwardRequest, ServerResponse
 from endivesaddle.fleet.routes.known import Known
 from endivesaddle.fleet.routing.backends import Backend, Backends, ForwardRoutingRequest, is_engine
 from endivesaddle.fleet.routing.candidates import Candidates
@@ -94,7 +94,7 @@
         """Note that the server had no room."""
         self._dispatcher.counts['declined'] += 1
 
-    def apply_signals(self, answer: ServerAnswer) -> None:
+    def apply_signals(self, answer: ServerResponse) -> None:
         """Note what the server told of itself in the head of its answer."""
         # Nobody knows when the answer of another request was begun.
         sent_unix_s = self._entered_unix_s if answer.own else 0.0
