--- a/packages/fleet/src/endivesaddle/fleet/routes/evacuations.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/evacuations.py
@@ -16,7 +16,7 @@
 Listener = Callable[[], None]
 
 
-class TakenBack(NamedTuple):
+class ReturnedToService(NamedTuple):
     """When a data centre was taken back: at a version of the store, and the time here."""
 
     version: int
@@ -32,7 +32,7 @@
         self.heard = False
         self.names: frozenset[str] = frozenset()
         self.listeners: list[Listener] = []
-        self._taken_back: dict[str, TakenBack] = {}
+        self._returned: dict[str, ReturnedToService] = {}
 
     def replace(self, names: Iterable[str], version: int, now_unix_s: float, source: str) -> None:
         """Take in all that are evacuated as of a version; an older version changes nothing."""
@@ -59,17 +59,17 @@
         its takeback, since the entries known here were of before.  An entry that was written after
         the takeback speaks for itself.
         """
-        taken_back = self._taken_back.get(data_centre)
-        if taken_back is None or entry_version > taken_back.version:
+        returned = self._returned.get(data_centre)
+        if returned is None or entry_version > returned.version:
             return 0.0
-        return taken_back.at_unix_s + cold_s + ENTRY_AGE_S
+        return returned.at_unix_s + cold_s + ENTRY_AGE_S
 
     def _note(self, before: frozenset[str], now_unix_s: float, source: str) -> None:
         for name in self.names - before:
-            self._taken_back.pop(name, None)
+            self._returned.pop(name, None)
             events.EVACUATED.log(data_centre=name, version=self.version, source=source)
         for name in before - self.names:
-            self._taken_back[name] = TakenBack(self.version, now_unix_s)
+            self._returned[name] = ReturnedToService(self.version, now_unix_s)
             events.TAKEN_BACK.log(data_centre=name, version=self.version, source=source)
         if before != self.names:
             for listener in self.listeners:
