--- a/features/steps/users_platform_steps.py
+++ b/features/steps/users_platform_steps.py
@@ -119,7 +119,7 @@
 
 @then('version {version:d} is in force')
 def in_force(context: Any, version: int) -> None:
-    """Look at the book."""
+    """Compare what its declarations say."""
     assert context.users.version() == version, context.users.version()
 
 
--- a/features/subjects/cold_bursts.py
+++ b/features/subjects/cold_bursts.py
@@ -3,7 +3,7 @@
 One server has just started and is the best choice for every request; each router decides alone.
 """
 
-from endivesaddle.fleet.routes.declared import Declared, RouteServer, Service
+from endivesaddle.fleet.routes.declared import Declarations, RouteServer, Service
 from endivesaddle.fleet.routes.known import Known
 from endivesaddle.fleet.routing.backends import Backend
 from endivesaddle.fleet.routing.cold_starts import ColdStarts
@@ -25,7 +25,9 @@
     def __init__(self, policy: str, routers: int) -> None:
         """Start with nothing sent."""
         known = Known()
-        known.declare(Declared(1, (), (Service('engines', 0, 9, 0, COLD_S, PER_S),), ()), b'', 'x')
+        known.declare(
+            Declarations(1, (), (Service('engines', 0, 9, 0, COLD_S, PER_S),), ()), b'', 'x'
+        )
         known.server(SERVER, 'test')
         names = [f'router-{number}' for number in range(routers)]
         self._drawn = RandomRouters(SEED, names)
@@ -70,7 +72,7 @@
         """Start with nothing sent."""
         known = Known()
         service = Service('engines', 0, 9, 0, COLD_S, PER_S)
-        known.declare(Declared(1, (), (service,), ()), b'', 'x')
+        known.declare(Declarations(1, (), (service,), ()), b'', 'x')
         known.server(SERVER._replace(cold_until_unix_s=0), 'test')
         self.backend = Backend(SERVER)
         self.cold = ColdStarts('few_routers', known, 'router-0')
--- a/features/subjects/cut_router.py
+++ b/features/subjects/cut_router.py
@@ -11,7 +11,7 @@
 from endivesaddle.fleet.routes.allocator import Allocator
 from endivesaddle.fleet.routes.allocator_choice import AllocatorChoice
 from endivesaddle.fleet.routes.call_times import TimedPeers
-from endivesaddle.fleet.routes.declared import Declared, RouteAccount, RouteServer
+from endivesaddle.fleet.routes.declared import Declarations, RouteAccount, RouteServer
 from endivesaddle.fleet.routes.failover_store import FailoverStore
 from endivesaddle.fleet.routes.following import Decoder, Follower
 from endivesaddle.fleet.routes.grant_group import AllocatorContext
@@ -34,7 +34,7 @@
     declared_prefix = 'none/declared'
     servers_prefix = 'none/servers/'
 
-    def declared(self, stored: Stored) -> Declared | None:
+    def declared(self, stored: Stored) -> Declarations | None:
         """Refuse."""
         raise ValueError(stored.key)
 
@@ -128,7 +128,7 @@
 
     def start(self, account: RouteAccount) -> None:
         """Serve, and run all parts; they use what the roster knows within a second."""
-        self.known.declare(Declared(1, (), (), (account,)), b'', 'test')
+        self.known.declare(Declarations(1, (), (), (account,)), b'', 'test')
         self.contact.heard()
         handlers = Handlers()
         self._neighbours.register(handlers)
--- a/features/subjects/evacuated_fleet.py
+++ b/features/subjects/evacuated_fleet.py
@@ -83,7 +83,7 @@
     def ready(self, router: int) -> bool:
         """Tell whether a router knows what it needs before it takes requests."""
         known = self._routers[router].known
-        return known.book is not None and bool(known.servers)
+        return known.declarations is not None and bool(known.servers)
 
     def enter_cold(self, server: int, cold_s: float) -> None:
         """Have a server write that it is cold for so long."""
--- a/features/subjects/forward_http.py
+++ b/features/subjects/forward_http.py
@@ -8,7 +8,7 @@
 
 from endivesaddle.callers.settings import CallersSettings
 from endivesaddle.daemon.forward_http import serve_http
-from endivesaddle.fleet.routes.declared import Declared, RequestLimits
+from endivesaddle.fleet.routes.declared import Declarations, RequestLimits
 from endivesaddle.fleet.routes.known import Known
 
 GUARD_S = 20
@@ -96,7 +96,7 @@
         self.took_s = 0.0
         known = Known()
         limits = RequestLimits(header_bytes=HEADER_BYTES, idle_ms=IDLE_MS)
-        known.declare(Declared(1, (), (), (), limits), b'', 'test')
+        known.declare(Declarations(1, (), (), (), limits), b'', 'test')
         self._known = known
 
     def play(self, moves: Callable[['ForwardHttp'], Awaitable[None]]) -> None:
--- a/features/subjects/forward_runs.py
+++ b/features/subjects/forward_runs.py
@@ -15,7 +15,7 @@
 from endivesaddle.fleet.routes.allocator_choice import AllocatorChoice
 from endivesaddle.fleet.routes.call_times import TimedPeers
 from endivesaddle.fleet.routes.declared import (
-    Declared,
+    Declarations,
     Repeat,
     Route,
     RouteAccount,
@@ -309,7 +309,7 @@
     def declare_plain(self) -> None:
         """Declare the service without saying how much an event holds."""
         services = (Service('engines', 100),)
-        declared = Declared(2, (self.route,), services, (self.account,))
+        declared = Declarations(2, (self.route,), services, (self.account,))
         self._known.declare(declared, b'', 'test')
 
     def leave(self) -> None:
@@ -331,7 +331,7 @@
 
     async def _declare(self) -> None:
         services = (Service('engines', 100, EVENT_TOKENS),)
-        declared = Declared(1, (self.route,), services, (self.account,))
+        declared = Declarations(1, (self.route,), services, (self.account,))
         self._known.declare(declared, b'', 'test')
         for number in range(3):
             name = f'life-{number}'
--- a/features/subjects/homes.py
+++ b/features/subjects/homes.py
@@ -65,13 +65,13 @@
         return {REGIONS[placement.backend.server.data_centre] for placement in placements}
 
     async def _place(self, number: int) -> None:
-        book = self._known.book
-        assert book
+        declarations = self._known.declarations
+        assert declarations
         end_unix_s = self._clock.now_s() + TIME_S
         request = ForwardRequest(
             request_id=f'attempt-{number}',
-            route=book.declared.routes[0],
-            account=book.declared.accounts[0],
+            route=declarations.declared.routes[0],
+            account=declarations.declared.accounts[0],
             method='POST',
             target='/b/x',
             headers=(),
--- a/features/subjects/leaving_servers.py
+++ b/features/subjects/leaving_servers.py
@@ -8,7 +8,7 @@
 from endivesaddle.fleet.clock import LoopClock, left_s
 from endivesaddle.fleet.errors import StoreUnreachable
 from endivesaddle.fleet.ports import Stored
-from endivesaddle.fleet.routes.declared import Declared, RouteAccount, RouteServer
+from endivesaddle.fleet.routes.declared import Declarations, RouteAccount, RouteServer
 from endivesaddle.fleet.routes.following import Follower
 from endivesaddle.fleet.routes.known import Contact, Known
 from endivesaddle.stand_ins.memory_peers import MemoryNet
@@ -31,7 +31,7 @@
     declared_prefix = 'none/declared'
     servers_prefix = SERVERS
 
-    def declared(self, stored: Stored) -> Declared | None:
+    def declared(self, stored: Stored) -> Declarations | None:
         """Refuse."""
         raise ValueError(stored.key)
 
--- a/features/subjects/news_fleet.py
+++ b/features/subjects/news_fleet.py
@@ -8,8 +8,8 @@
 from endivesaddle.fleet.clock import LoopClock
 from endivesaddle.fleet.ports import Handlers
 from endivesaddle.fleet.routes.board import Board
-from endivesaddle.fleet.routes.book import RouteBook
-from endivesaddle.fleet.routes.declared import Declared
+from endivesaddle.fleet.routes.declaration_index import DeclarationIndex
+from endivesaddle.fleet.routes.declared import Declarations
 from endivesaddle.fleet.routes.known import Contact, Known
 from endivesaddle.fleet.routes.left_servers import LeftLife
 from endivesaddle.fleet.routes.neighbours import NeighbourParts, Neighbours
@@ -48,7 +48,7 @@
         clock = LoopClock()
         name = f'router-{number}'
         self.known = Known()
-        self.known.book = RouteBook(Declared(1, (), (), ()))
+        self.known.declarations = DeclarationIndex(Declarations(1, (), (), ()))
         contact = Contact(clock)
         contact.heard()
         others = {other: address for other, address in addresses.items() if other != name}
--- a/features/subjects/shares.py
+++ b/features/subjects/shares.py
@@ -9,7 +9,7 @@
 from endivesaddle.fleet.routes.allocator import Allocator
 from endivesaddle.fleet.routes.allocator_choice import AllocatorChoice
 from endivesaddle.fleet.routes.call_times import TimedPeers
-from endivesaddle.fleet.routes.declared import Declared, RouteAccount
+from endivesaddle.fleet.routes.declared import Declarations, RouteAccount
 from endivesaddle.fleet.routes.grant_group import GROUPS, PREFIX, AllocatorContext
 from endivesaddle.fleet.routes.grants import GrantEntry, decode
 from endivesaddle.fleet.routes.known import Known
@@ -201,5 +201,5 @@
     ) -> list[Reservation | Refusal]:
         return await asyncio.gather(*(self._reserve(name, tokens) for _ in range(count)))
 
-    def _declared(self, total: int) -> Declared:
-        return Declared(self.version + 1, (), (), (RouteAccount(ACCOUNT, (), None, total),))
+    def _declared(self, total: int) -> Declarations:
+        return Declarations(self.version + 1, (), (), (RouteAccount(ACCOUNT, (), None, total),))
--- a/features/subjects/users_platform.py
+++ b/features/subjects/users_platform.py
@@ -161,7 +161,7 @@
 
     def version(self) -> int:
         """Return the version in force."""
-        return self.known.book.version if self.known.book else 0
+        return self.known.declarations.version if self.known.declarations else 0
 
     async def _open(self) -> None:
         self.transport = AsgiTransport({'store': self.gateway})
--- a/packages/callers/src/endivesaddle/callers/forward_app.py
+++ b/packages/callers/src/endivesaddle/callers/forward_app.py
@@ -14,7 +14,7 @@
 from endivesaddle.callers.settings import CallersSettings
 from endivesaddle.fleet.clock import Clock
 from endivesaddle.fleet.routes import run_events
-from endivesaddle.fleet.routes.book import RouteBook
+from endivesaddle.fleet.routes.declaration_index import DeclarationIndex
 from endivesaddle.fleet.routes.forwarded import ForwardRequest, Pairs
 from endivesaddle.fleet.routes.header_names import LENGTH, HeaderNames
 from endivesaddle.fleet.routes.known import Known
@@ -172,19 +172,21 @@
 
     async def _read(self, exchange: Exchange) -> ForwardRequest | Refusal:
         parts = self._parts
-        book = parts.known.book
+        declarations = parts.known.declarations
         if parts.stopping.refusing:
             return parts.stopping.refusal()
-        if book is None:
+        if declarations is None:
             return _STARTING
-        read = await self._checked(exchange, book)
+        read = await self._checked(exchange, declarations)
         return refuse(read, no_earlier_attempt=True) if isinstance(read, Invalid) else read
 
-    async def _checked(self, exchange: Exchange, book: RouteBook) -> ForwardRequest | Invalid:
-        head = read_head(exchange, book)
+    async def _checked(
+        self, exchange: Exchange, declarations: DeclarationIndex
+    ) -> ForwardRequest | Invalid:
+        head = read_head(exchange, declarations)
         if isinstance(head, Invalid):
             return head
-        body = await exchange.body(book.declared.limits.body_bytes)
+        body = await exchange.body(declarations.declared.limits.body_bytes)
         if isinstance(body, Invalid):
             return body
         return read_request(exchange, head, body, self._parts.header_names)
--- a/packages/callers/src/endivesaddle/callers/forward_requests.py
+++ b/packages/callers/src/endivesaddle/callers/forward_requests.py
@@ -5,7 +5,7 @@
 
 from endivesaddle.callers.exchange import Exchange
 from endivesaddle.callers.refusals import Invalid
-from endivesaddle.fleet.routes.book import RouteBook
+from endivesaddle.fleet.routes.declaration_index import DeclarationIndex
 from endivesaddle.fleet.routes.declared import Route, RouteAccount
 from endivesaddle.fleet.routes.forwarded import ForwardRequest
 from endivesaddle.fleet.routes.header_names import HOP_BY_HOP, LENGTH, HeaderNames
@@ -22,14 +22,14 @@
     account: RouteAccount | None
 
 
-def read_head(exchange: Exchange, book: RouteBook) -> Head | Invalid:
+def read_head(exchange: Exchange, declarations: DeclarationIndex) -> Head | Invalid:
     """Find the route and the account of a request."""
-    route = book.find(exchange.headers.get('host', ''), exchange.raw_path)
+    route = declarations.find(exchange.headers.get('host', ''), exchange.raw_path)
     if route is None:
         return Invalid('route_not_found', 'no route matches', status=HTTPStatus.NOT_FOUND)
-    if route.public or not book.accounts:
+    if route.public or not declarations.accounts:
         return Head(route, None)
-    account = book.account_of(exchange.bearer)
+    account = declarations.account_of(exchange.bearer)
     if account is None:
         return Invalid('invalid_key', 'the key is not known', status=HTTPStatus.UNAUTHORIZED)
     return Head(route, account)
--- a/packages/daemon/src/endivesaddle/daemon/forward_http.py
+++ b/packages/daemon/src/endivesaddle/daemon/forward_http.py
@@ -106,7 +106,7 @@
     state = ServerState()
 
     def opened() -> BoundedHttp:
-        limits = known.book.declared.limits if known.book else RequestLimits()
+        limits = known.declarations.declared.limits if known.declarations else RequestLimits()
         return BoundedHttp(limits, config=config, server_state=state, app_state={})
 
     server = await asyncio.get_running_loop().create_server(opened, sock=listener)
--- a/packages/daemon/src/endivesaddle/daemon/forwarder.py
+++ b/packages/daemon/src/endivesaddle/daemon/forwarder.py
@@ -126,7 +126,7 @@
             'counters': {
                 'forward_open': self._app.open_count,
                 'connections_opened': self.links.links.opened_count,
-                'declared_version': known.book.version if known.book else 0,
+                'declared_version': known.declarations.version if known.declarations else 0,
                 'servers_known': len(known.servers),
                 'store_age_seconds': parts.contact.age_s,
                 'store_away_here': int(parts.store.unavailable),
--- a/packages/fleet/src/endivesaddle/fleet/routes/book.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/declaration_index.py
@@ -2,13 +2,13 @@
 
 from collections.abc import Iterable
 
-from endivesaddle.fleet.routes.declared import Declared, Route, RouteAccount, Service
+from endivesaddle.fleet.routes.declared import Declarations, Route, RouteAccount, Service
 
 
-class RouteBook:
+class DeclarationIndex:
     """One version of the declarations, indexed."""
 
-    def __init__(self, declared: Declared) -> None:
+    def __init__(self, declared: Declarations) -> None:
         """Index by host and prefix, service name, and key."""
         self.declared = declared
         self._routes: dict[tuple[str, str], Route] = {
--- a/packages/fleet/src/endivesaddle/fleet/routes/declarations.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/declarations.py
@@ -47,7 +47,7 @@
         if self._busy.locked() or version <= self._version:
             return
         async with self._busy:
-            if not self._contact.away and self._known.book is not None:
+            if not self._contact.away and self._known.declarations is not None:
                 await anyio.sleep(STORE_FIRST_S)
             if version <= self._version:
                 return
@@ -67,7 +67,7 @@
 
     @property
     def _version(self) -> int:
-        return self._known.book.version if self._known.book else 0
+        return self._known.declarations.version if self._known.declarations else 0
 
     def _declare(self, reply: routers_pb2.DeclarationsReply, address: str) -> None:
         if not reply.document:
--- a/packages/fleet/src/endivesaddle/fleet/routes/declared.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/declared.py
@@ -99,7 +99,7 @@
     idle_ms: float = 15000
 
 
-class Declared(NamedTuple):
+class Declarations(NamedTuple):
     """One version of everything that is declared; a higher version is newer."""
 
     version: int
--- a/packages/fleet/src/endivesaddle/fleet/routes/facts.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/facts.py
@@ -29,7 +29,7 @@
     @property
     def wanted(self) -> bool:
         """Whether this router needs to be told."""
-        return self._contact.away or self._known.book is None
+        return self._contact.away or self._known.declarations is None
 
     def tell(self, reply: routers_pb2.WordReply) -> None:
         """Add what is known here to a reply."""
--- a/packages/fleet/src/endivesaddle/fleet/routes/following.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/following.py
@@ -14,7 +14,7 @@
 from endivesaddle.fleet.errors import StoreUnreachable
 from endivesaddle.fleet.ports import Stored
 from endivesaddle.fleet.routes import events
-from endivesaddle.fleet.routes.declared import Declared, RouteServer
+from endivesaddle.fleet.routes.declared import Declarations, RouteServer
 from endivesaddle.fleet.routes.known import Contact, Known
 from endivesaddle.fleet.routes.unread_names import UnreadNames
 from endivesaddle.fleet.sentinels import Absent
@@ -73,7 +73,7 @@
     servers_prefix: str
     unread: UnreadNames
 
-    def declared(self, stored: Stored) -> Declared | None:
+    def declared(self, stored: Stored) -> Declarations | None:
         """Return the declarations, None where the key holds something else."""
 
     def evacuated(self, key: str) -> str:
--- a/packages/fleet/src/endivesaddle/fleet/routes/known.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/known.py
@@ -5,8 +5,8 @@
 from endivesaddle.fleet.clock import Clock
 from endivesaddle.fleet.routes import events, store_events
 from endivesaddle.fleet.routes.advertised_limits import AdvertisedLimits
-from endivesaddle.fleet.routes.book import RouteBook
-from endivesaddle.fleet.routes.declared import Declared, RouteServer
+from endivesaddle.fleet.routes.declaration_index import DeclarationIndex
+from endivesaddle.fleet.routes.declared import Declarations, RouteServer
 from endivesaddle.fleet.routes.evacuations import Evacuations
 from endivesaddle.fleet.routes.left_servers import LeftLife, LeftServers
 
@@ -22,7 +22,7 @@
 
     def __init__(self) -> None:
         """Know nothing yet."""
-        self.book: RouteBook | None = None
+        self.declarations: DeclarationIndex | None = None
         self.document = b''
         self.servers: dict[str, RouteServer] = {}
         self.missing: dict[str, float] = {}
@@ -37,12 +37,12 @@
         self._written: dict[str, int] = {}
         self._by_service: dict[str, tuple[RouteServer, ...]] = {}
 
-    def declare(self, declared: Declared, document: bytes, source: str) -> bool:
+    def declare(self, declared: Declarations, document: bytes, source: str) -> bool:
         """Take a version in force if it is newer; ``document`` is as it was written."""
-        before = self.book.version if self.book else 0
-        if self.book is not None and declared.version <= before:
+        before = self.declarations.version if self.declarations else 0
+        if self.declarations is not None and declared.version <= before:
             return False
-        self.book = RouteBook(declared)
+        self.declarations = DeclarationIndex(declared)
         self.document = document
         events.DECLARED.log(version=declared.version, before=before, source=source)
         self._tell()
@@ -122,7 +122,7 @@
     def cold_until_unix_s(self, server: RouteServer) -> float:
         """Return until when a server is cold, by its entry or by its data centre's takeback."""
         known = self.servers.get(server.lifetime, server)
-        service = self.book.services.get(server.service) if self.book else None
+        service = self.declarations.services.get(server.service) if self.declarations else None
         cold_s = service.cold_s if service else 0.0
         version = self._written_at(server)
         suspected_unix_s = self.evacuations.cold_until_unix_s(server.data_centre, version, cold_s)
--- a/packages/fleet/src/endivesaddle/fleet/routes/neighbours.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/neighbours.py
@@ -123,11 +123,11 @@
         return bool(self._lanes.keys() - self._leaving)
 
     def _addresses(self) -> set[str]:
-        away = self._parts.contact.away or self._parts.known.book is None
+        away = self._parts.contact.away or self._parts.known.declarations is None
         if self._board_address() and not away:
             return set()
         known = set(self._parts.directory.others.values())
-        if not known or self._parts.known.book is None:
+        if not known or self._parts.known.declarations is None:
             known |= set(self._parts.seeds)
         return known - {self._address}
 
@@ -251,7 +251,7 @@
         return routers_pb2.Word(
             lifetime=self._lifetime,
             address=self._address,
-            version=parts.known.book.version if parts.known.book else 0,
+            version=parts.known.declarations.version if parts.known.declarations else 0,
             store_age_s=parts.contact.age_s,
             lanes=_lane_words(parts.dispatcher),
             wants_facts=self._facts.wanted,
--- a/packages/fleet/src/endivesaddle/fleet/routes/prepaid_pools.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/prepaid_pools.py
@@ -136,7 +136,7 @@
 
     def ready(self) -> bool:
         """Tell whether the accounts are known."""
-        return self._parts.known.book is not None
+        return self._parts.known.declarations is not None
 
     def dump(self) -> dict[str, dict[str, float]]:
         """Return what is held for operators."""
@@ -164,8 +164,8 @@
 
     def _limited(self) -> list[str]:
         """Return the names of the accounts that have a total."""
-        book = self._parts.known.book
-        accounts = book.accounts.values() if book else ()
+        declarations = self._parts.known.declarations
+        accounts = declarations.accounts.values() if declarations else ()
         return [one.name for one in accounts if one.total_tokens is not None]
 
     def _near(self, pool: AccountPool) -> int:
@@ -215,13 +215,13 @@
         return self._parts.choice.ranked(group)[0]
 
     def _request(self) -> DrawRequest:
-        book = self._parts.known.book
-        version = book.version if book else 0
+        declarations = self._parts.known.declarations
+        version = declarations.version if declarations else 0
         return DrawRequest(lifetime=self._parts.lifetime, version=version)
 
     def _total(self, name: str) -> int:
-        book = self._parts.known.book
-        account = book.accounts.get(name) if book else None
+        declarations = self._parts.known.declarations
+        account = declarations.accounts.get(name) if declarations else None
         if account is None or account.total_tokens is None:
             return 0
         return account.total_tokens
--- a/packages/fleet/src/endivesaddle/fleet/routing/cold_starts.py
+++ b/packages/fleet/src/endivesaddle/fleet/routing/cold_starts.py
@@ -126,5 +126,5 @@
         )
 
     def _service(self, backend: Backend) -> Service | None:
-        book = self._known.book
-        return book.services.get(backend.server.service) if book else None
+        declarations = self._known.declarations
+        return declarations.services.get(backend.server.service) if declarations else None
--- a/packages/fleet/src/endivesaddle/fleet/routing/dispatcher.py
+++ b/packages/fleet/src/endivesaddle/fleet/routing/dispatcher.py
@@ -151,7 +151,9 @@
         backends = self._candidates.open(request, service, exclude, self.now_s())
         if not backends:
             return self._none(request, service)
-        engine = is_engine(self.known.book.services.get(service) if self.known.book else None)
+        engine = is_engine(
+            self.known.declarations.services.get(service) if self.known.declarations else None
+        )
         name = self._settings.forward_policy if engine else 'least_busy'
         self._turn += 1
         self.counts['placed'] += 1
@@ -205,8 +207,8 @@
         Where the service does not say, one event may be the whole answer: counted as
         nothing, streams of a plain service would overdraw the account.
         """
-        book = self.known.book
-        service = book.services.get(self._service(request)) if book else None
+        declarations = self.known.declarations
+        service = declarations.services.get(self._service(request)) if declarations else None
         said = service.event_tokens if service else 0
         return said or request.max_tokens
 
--- a/packages/operators/src/endivesaddle/operators/budget_desk.py
+++ b/packages/operators/src/endivesaddle/operators/budget_desk.py
@@ -22,7 +22,7 @@
 """Each takes two milliseconds to read and write: more at once would stall callers."""
 
 
-class Declared(NamedTuple):
+class Declarations(NamedTuple):
     """What became of declared amounts: accounts whose budget stays as it was, and why.
 
     ``refused`` can't be lowered that far; ``unsettled`` could not be written.
@@ -80,9 +80,9 @@
             raise StoreUnreachable(f'a budget record is not usable: {error}') from error
         return found
 
-    async def declare(self, amounts: Mapping[str, int], deadline_unix_s: float) -> Declared:
+    async def declare(self, amounts: Mapping[str, int], deadline_unix_s: float) -> Declarations:
         """Set declared amounts; an account that can't be lowered stays as it is."""
-        outcome = Declared({}, {})
+        outcome = Declarations({}, {})
         jobs = [
             functools.partial(self._declare, shard, accounts, outcome, deadline_unix_s)
             for shard, accounts in _by_shard(amounts).items()
@@ -91,7 +91,7 @@
         return outcome
 
     async def _declare(
-        self, shard: int, accounts: Mapping[str, int], outcome: Declared, deadline_unix_s: float
+        self, shard: int, accounts: Mapping[str, int], outcome: Declarations, deadline_unix_s: float
     ) -> None:
         refused: dict[str, str] = {}
         change = functools.partial(_set_declared, accounts, refused)
--- a/tools/bench_forward.py
+++ b/tools/bench_forward.py
@@ -26,7 +26,7 @@
 from endivesaddle.fleet.clock import SteadyClock
 from endivesaddle.fleet.ports import Stored
 from endivesaddle.fleet.routes.declared import (
-    Declared,
+    Declarations,
     Repeat,
     Route,
     RouteAccount,
@@ -72,9 +72,9 @@
     servers_prefix = 'servers/'
     unread = UnreadNames()
 
-    def declared(self, stored: Stored) -> Declared | None:
+    def declared(self, stored: Stored) -> Declarations | None:
         """Return the declarations."""
-        return msgspec.json.decode(stored.value or b'', type=Declared)
+        return msgspec.json.decode(stored.value or b'', type=Declarations)
 
     def evacuated(self, key: str) -> str:
         """Know of no evacuations."""
@@ -89,13 +89,13 @@
         return key.removeprefix(self.servers_prefix)
 
 
-def declared() -> Declared:
+def declared() -> Declarations:
     """Return one streaming route to engines, and an account with plenty."""
     route = Route(
         'boards', 'boards', '/b/', Repeat.STREAMED, 15000, 500, 1, (Target('engines', 1),)
     )
     account = RouteAccount('ateliers', ('key',), None, 10**10)
-    return Declared(1, (route,), (Service('engines', 500, 6, 700000),), (account,))
+    return Declarations(1, (route,), (Service('engines', 500, 6, 700000),), (account,))
 
 
 async def run_router() -> None:
