--- a/features/subjects/cold_bursts.py
+++ b/features/subjects/cold_bursts.py
@@ -4,7 +4,7 @@
 """
 
 from endivesaddle.fleet.routes.declared import Declarations, RouteServer, Service
-from endivesaddle.fleet.routes.known import Known
+from endivesaddle.fleet.routes.routing_state import RoutingState
 from endivesaddle.fleet.routing.backends import Backend
 from endivesaddle.fleet.routing.cold_starts import ColdStarts
 from subjects.random_routers import RandomRouters, busiest
@@ -24,15 +24,15 @@
 
     def __init__(self, policy: str, routers: int) -> None:
         """Start with nothing sent."""
-        known = Known()
-        known.declare(
+        routing_state = RoutingState()
+        routing_state.declare(
             Declarations(1, (), (Service('engines', 0, 9, 0, COLD_S, PER_S),), ()), b'', 'x'
         )
-        known.server(SERVER, 'test')
+        routing_state.server(SERVER, 'test')
         names = [f'router-{number}' for number in range(routers)]
         self._drawn = RandomRouters(SEED, names)
         self._routers = [
-            _router(policy, known, name, heard)
+            _router(policy, routing_state, name, heard)
             for name, heard in zip(names, self._drawn.known, strict=True)
         ]
         self._sent_unix_s: list[float] = []
@@ -57,9 +57,9 @@
 
 
 def _router(
-    policy: str, known: Known, name: str, heard: tuple[str, ...]
+    policy: str, routing_state: RoutingState, name: str, heard: tuple[str, ...]
 ) -> tuple[ColdStarts, Backend]:
-    cold = ColdStarts(policy, known, name)
+    cold = ColdStarts(policy, routing_state, name)
     cold.routers = heard
     cold.settled = True
     return cold, Backend(SERVER)
@@ -70,12 +70,12 @@
 
     def __init__(self) -> None:
         """Start with nothing sent."""
-        known = Known()
+        routing_state = RoutingState()
         service = Service('engines', 0, 9, 0, COLD_S, PER_S)
-        known.declare(Declarations(1, (), (service,), ()), b'', 'x')
-        known.server(SERVER._replace(cold_until_unix_s=0), 'test')
+        routing_state.declare(Declarations(1, (), (service,), ()), b'', 'x')
+        routing_state.server(SERVER._replace(cold_until_unix_s=0), 'test')
         self.backend = Backend(SERVER)
-        self.cold = ColdStarts('few_routers', known, 'router-0')
+        self.cold = ColdStarts('few_routers', routing_state, 'router-0')
         self.now_unix_s = START_UNIX_S + 2 * COLD_S
 
     def play(self, per_s: int, seconds: int) -> None:
--- a/features/subjects/cut_router.py
+++ b/features/subjects/cut_router.py
@@ -16,10 +16,10 @@
 from endivesaddle.fleet.routes.following import Decoder, Follower
 from endivesaddle.fleet.routes.grant_group import AllocatorContext
 from endivesaddle.fleet.routes.instance_directory import ROUTER, Instance, InstanceDirectory
-from endivesaddle.fleet.routes.known import Contact, Known
 from endivesaddle.fleet.routes.neighbours import NeighbourParts, Neighbours
 from endivesaddle.fleet.routes.prepaid_pools import PrepaidPools, PrepaidPoolsParts
 from endivesaddle.fleet.routes.remote_store import answer_store
+from endivesaddle.fleet.routes.routing_state import Contact, RoutingState
 from endivesaddle.fleet.routes.stored_crashes import StoredCrashes
 from endivesaddle.fleet.routing.dispatcher import Dispatcher
 from endivesaddle.fleet.routing.forward_settings import ForwardSettings
@@ -93,7 +93,7 @@
         self.cut = CutStore(store, clock)
         self.store = FailoverStore(self.cut, net.peers(address), clock)
         self.contact = Contact(clock)
-        self.known = Known()
+        self.routing_state = RoutingState()
         own = Instance(ROUTER, name, address, 'porto-a')
         self.directory = InstanceDirectory(self.store, clock, own)
         self.allocator = Allocator(
@@ -103,12 +103,14 @@
         peers = TimedPeers(net.peers(address), clock)
         self.peers = peers
         self.pools = PrepaidPools(
-            PrepaidPoolsParts(name, address, self.known, choice, self.allocator, peers, clock)
+            PrepaidPoolsParts(
+                name, address, self.routing_state, choice, self.allocator, peers, clock
+            )
         )
-        self.dispatcher = Dispatcher(ForwardSettings(), self.known, clock, name)
+        self.dispatcher = Dispatcher(ForwardSettings(), self.routing_state, clock, name)
         self._neighbours = Neighbours(
             NeighbourParts(
-                self.known,
+                self.routing_state,
                 self.contact,
                 self.dispatcher,
                 self.directory,
@@ -120,7 +122,7 @@
             name,
             address,
         )
-        self._follower = Follower(self.store, decoder, self.known, clock, self.contact)
+        self._follower = Follower(self.store, decoder, self.routing_state, clock, self.contact)
         self._crashes = StoredCrashes(self.store, self.dispatcher.crashes, clock)
         self._net = net
         self._clock = clock
@@ -128,7 +130,7 @@
 
     def start(self, account: RouteAccount) -> None:
         """Serve, and run all parts; they use what the roster knows within a second."""
-        self.known.declare(Declarations(1, (), (), (account,)), b'', 'test')
+        self.routing_state.declare(Declarations(1, (), (), (account,)), b'', 'test')
         self.contact.heard()
         handlers = Handlers()
         self._neighbours.register(handlers)
--- a/features/subjects/evacuated_fleet.py
+++ b/features/subjects/evacuated_fleet.py
@@ -82,8 +82,8 @@
 
     def ready(self, router: int) -> bool:
         """Tell whether a router knows what it needs before it takes requests."""
-        known = self._routers[router].known
-        return known.declarations is not None and bool(known.servers)
+        routing_state = self._routers[router].routing_state
+        return routing_state.declarations is not None and bool(routing_state.servers)
 
     def enter_cold(self, server: int, cold_s: float) -> None:
         """Have a server write that it is cold for so long."""
--- a/features/subjects/forward_http.py
+++ b/features/subjects/forward_http.py
@@ -9,7 +9,7 @@
 from endivesaddle.callers.settings import CallersSettings
 from endivesaddle.daemon.forward_http import serve_http
 from endivesaddle.fleet.routes.declared import Declarations, RequestLimits
-from endivesaddle.fleet.routes.known import Known
+from endivesaddle.fleet.routes.routing_state import RoutingState
 
 GUARD_S = 20
 IDLE_MS = 300
@@ -94,10 +94,10 @@
         self.address = ''
         self.got = b''
         self.took_s = 0.0
-        known = Known()
+        routing_state = RoutingState()
         limits = RequestLimits(header_bytes=HEADER_BYTES, idle_ms=IDLE_MS)
-        known.declare(Declarations(1, (), (), (), limits), b'', 'test')
-        self._known = known
+        routing_state.declare(Declarations(1, (), (), (), limits), b'', 'test')
+        self._routing_state = routing_state
 
     def play(self, moves: Callable[['ForwardHttp'], Awaitable[None]]) -> None:
         """Serve while moves are made; returns when the listener has ended."""
@@ -121,7 +121,7 @@
         with anyio.fail_after(GUARD_S):
             async with anyio.create_task_group() as group:
                 self.address = await group.start(
-                    serve_http, self.app, '127.0.0.1:0', settings, self._known, self.closed
+                    serve_http, self.app, '127.0.0.1:0', settings, self._routing_state, self.closed
                 )
                 await moves(self)
                 self.closed.set()
--- a/features/subjects/forward_runs.py
+++ b/features/subjects/forward_runs.py
@@ -25,8 +25,8 @@
 )
 from endivesaddle.fleet.routes.forwarded import ForwardRequest, Pairs, ServerCall
 from endivesaddle.fleet.routes.grant_group import AllocatorContext
-from endivesaddle.fleet.routes.known import Known
 from endivesaddle.fleet.routes.prepaid_pools import PrepaidPools, PrepaidPoolsParts
+from endivesaddle.fleet.routes.routing_state import RoutingState
 from endivesaddle.fleet.routes.running import Runner
 from endivesaddle.fleet.routing.backends import Backend
 from endivesaddle.fleet.routing.choosing import NoDesks
@@ -274,7 +274,7 @@
         self.took_s = 0.0
         self._loop = ScenarioLoop()
         self._clock = LoopClock()
-        self._known = Known()
+        self._routing_state = RoutingState()
         self._loop.run(self._declare)
 
     def close(self) -> None:
@@ -299,8 +299,8 @@
 
     def leave_server(self, lifetime: str) -> None:
         """Have a server say that it leaves."""
-        server = self._known.servers[lifetime]
-        self._known.server(server._replace(leaving=True), 'test')
+        server = self._routing_state.servers[lifetime]
+        self._routing_state.server(server._replace(leaving=True), 'test')
 
     def use_up(self) -> None:
         """Leave nothing to reserve from: the store is away before anything was granted."""
@@ -310,7 +310,7 @@
         """Declare the service without saying how much an event holds."""
         services = (Service('engines', 100),)
         declared = Declarations(2, (self.route,), services, (self.account,))
-        self._known.declare(declared, b'', 'test')
+        self._routing_state.declare(declared, b'', 'test')
 
     def leave(self) -> None:
         """Carry one request whose caller leaves after 50 ms."""
@@ -332,19 +332,21 @@
     async def _declare(self) -> None:
         services = (Service('engines', 100, EVENT_TOKENS),)
         declared = Declarations(1, (self.route,), services, (self.account,))
-        self._known.declare(declared, b'', 'test')
+        self._routing_state.declare(declared, b'', 'test')
         for number in range(3):
             name = f'life-{number}'
-            self._known.server(RouteServer(name, 'engines', f'{name}:1', 'a', 4), 'test')
+            self._routing_state.server(RouteServer(name, 'engines', f'{name}:1', 'a', 4), 'test')
         self._store = MemoryStore(self._clock)
         allocator = Allocator(AllocatorContext('one', 'one', self._store, self._clock))
         self._keeping = asyncio.ensure_future(allocator.run())
         choice = AllocatorChoice(Alone(), 'one', self._clock)
         timed = TimedPeers(MemoryNet(self._clock).peers('one'), self._clock)
         self.pools = PrepaidPools(
-            PrepaidPoolsParts('one', 'one', self._known, choice, allocator, timed, self._clock)
+            PrepaidPoolsParts(
+                'one', 'one', self._routing_state, choice, allocator, timed, self._clock
+            )
         )
-        dispatcher = Dispatcher(ForwardSettings(), self._known, self._clock, 'one')
+        dispatcher = Dispatcher(ForwardSettings(), self._routing_state, self._clock, 'one')
         self.desks = CountingDesks()
         dispatcher.desks = self.desks
         self.runner = Runner(dispatcher, self.pools, self.links, self._clock)
--- a/features/subjects/homes.py
+++ b/features/subjects/homes.py
@@ -7,7 +7,7 @@
 from endivesaddle.fleet.clock import LoopClock
 from endivesaddle.fleet.ports import Stored
 from endivesaddle.fleet.routes.forwarded import ForwardRequest
-from endivesaddle.fleet.routes.known import Known
+from endivesaddle.fleet.routes.routing_state import RoutingState
 from endivesaddle.fleet.routing.dispatcher import Dispatcher, Placement
 from endivesaddle.fleet.sentinels import Refusal
 from subjects.links_loop import ScenarioLoop
@@ -26,14 +26,16 @@
         """Start with nothing evacuated."""
         self._loop = ScenarioLoop()
         self._clock = LoopClock()
-        self._known = Known()
+        self._routing_state = RoutingState()
         self._decoder = module('documents').PlatformDecoder()
         settings, _ = read_node(f'{NODE}{ZONES}')
-        self._dispatcher = Dispatcher(settings.forward, self._known, self._clock, 'router-1')
+        self._dispatcher = Dispatcher(
+            settings.forward, self._routing_state, self._clock, 'router-1'
+        )
         for number, name in enumerate(DATA_CENTRES):
             entry = {**ENTRY, 'zone': name, 'address': f'10.0.{number}.1:80'}
             stored = Stored(f'servers/{name}', msgspec.json.encode(entry), 1)
-            self._known.server(self._decoder.server(stored, 0), 'test')
+            self._routing_state.server(self._decoder.server(stored, 0), 'test')
         self.outcomes: list[Placement | Refusal] = []
 
     def close(self) -> None:
@@ -43,7 +45,7 @@
     def evacuate(self, region: str) -> None:
         """Evacuate the data centre of a region."""
         names = [name for name, found in REGIONS.items() if found == region]
-        self._known.evacuations.replace(names, 1, 0, 'test')
+        self._routing_state.evacuations.replace(names, 1, 0, 'test')
 
     def come(self, count: int, route_homes: list[str], account_homes: list[str]) -> None:
         """Place requests of a route and an account."""
@@ -55,7 +57,7 @@
             'tenants': [account],
         }
         declared = module('documents').read_config(msgspec.json.encode(config))
-        self._known.declare(declared, b'', 'test')
+        self._routing_state.declare(declared, b'', 'test')
         for number in range(count):
             self._loop.run(self._place, number)
 
@@ -65,7 +67,7 @@
         return {REGIONS[placement.backend.server.data_centre] for placement in placements}
 
     async def _place(self, number: int) -> None:
-        declarations = self._known.declarations
+        declarations = self._routing_state.declarations
         assert declarations
         end_unix_s = self._clock.now_s() + TIME_S
         request = ForwardRequest(
--- a/features/subjects/large_declarations.py
+++ b/features/subjects/large_declarations.py
@@ -104,7 +104,7 @@
 
 
 def _version(router: CutRouter) -> int:
-    return router.known.declarations.version if router.known.declarations else 0
+    return router.routing_state.declarations.version if router.routing_state.declarations else 0
 
 
 def _prefix(number: int) -> str:
--- a/features/subjects/leaving_servers.py
+++ b/features/subjects/leaving_servers.py
@@ -10,7 +10,7 @@
 from endivesaddle.fleet.ports import Stored
 from endivesaddle.fleet.routes.declared import Declarations, RouteAccount, RouteServer
 from endivesaddle.fleet.routes.following import Follower
-from endivesaddle.fleet.routes.known import Contact, Known
+from endivesaddle.fleet.routes.routing_state import Contact, RoutingState
 from endivesaddle.stand_ins.memory_peers import MemoryNet
 from endivesaddle.stand_ins.memory_store import MemoryStore
 from subjects.cut_router import CutRouter
@@ -145,7 +145,7 @@
     async def _chosen(self, router: int, server: int, seconds: float) -> bool:
         until_unix_s = self._clock.now_s() + seconds
         while self._clock.now_s() < until_unix_s:
-            taking = self.routers[router].known.of_service(SERVICE)
+            taking = self.routers[router].routing_state.of_service(SERVICE)
             if _server(server) in {one.lifetime for one in taking}:
                 return True
             await anyio.sleep(LOOK_S)
@@ -167,12 +167,12 @@
 
     def __init__(self, version: int) -> None:
         """Have it told that the only server leaves."""
-        self.known = Known()
+        self.routing_state = RoutingState()
         server = RouteServer(_server(0), SERVICE, '10.0.2.0:1', 'porto-a', 64)
         self._server = server
-        self.known.server(server, 'test')
+        self.routing_state.server(server, 'test')
         left = server._replace(leaving=True)
-        self.known.replace({server.lifetime: left}, version, 'router-1')
+        self.routing_state.replace({server.lifetime: left}, version, 'router-1')
 
     def arrive(self) -> int:
         """Let the store's own list arrive; return its version."""
@@ -186,7 +186,7 @@
         store = MemoryStore(clock)
         entry = msgspec.json.encode(self._server)
         version = store.put(f'{SERVERS}{self._server.lifetime}', entry).version
-        follower = Follower(store, Entries(), self.known, clock, Contact(clock))
+        follower = Follower(store, Entries(), self.routing_state, clock, Contact(clock))
         with anyio.move_on_after(1):
             await follower.run()
         return version
--- a/features/subjects/news_fleet.py
+++ b/features/subjects/news_fleet.py
@@ -10,9 +10,9 @@
 from endivesaddle.fleet.routes.board import Board
 from endivesaddle.fleet.routes.declaration_index import DeclarationIndex
 from endivesaddle.fleet.routes.declared import Declarations
-from endivesaddle.fleet.routes.known import Contact, Known
 from endivesaddle.fleet.routes.left_servers import LeftLife
 from endivesaddle.fleet.routes.neighbours import NeighbourParts, Neighbours
+from endivesaddle.fleet.routes.routing_state import Contact, RoutingState
 from endivesaddle.fleet.routing.dispatcher import Dispatcher
 from endivesaddle.fleet.routing.forward_settings import ForwardSettings
 from endivesaddle.stand_ins.memory_peers import MemoryNet
@@ -47,14 +47,14 @@
         """Build its parts."""
         clock = LoopClock()
         name = f'router-{number}'
-        self.known = Known()
-        self.known.declarations = DeclarationIndex(Declarations(1, (), (), ()))
+        self.routing_state = RoutingState()
+        self.routing_state.declarations = DeclarationIndex(Declarations(1, (), (), ()))
         contact = Contact(clock)
         contact.heard()
         others = {other: address for other, address in addresses.items() if other != name}
-        dispatcher = Dispatcher(ForwardSettings(), self.known, clock, name)
+        dispatcher = Dispatcher(ForwardSettings(), self.routing_state, clock, name)
         parts = NeighbourParts(
-            self.known, contact, dispatcher, FixedRoster(others), NoDocuments(), ()
+            self.routing_state, contact, dispatcher, FixedRoster(others), NoDocuments(), ()
         )
         address = addresses[name]
         self.neighbours = Neighbours(parts, net.peers(address), clock, name, address)
@@ -132,9 +132,9 @@
         await anyio.sleep(self._random.uniform(0, 1))
         life = LeftLife(f'life-{number}', 0)
         began_unix_s = self._clock.now_s()
-        self._random.choice(self._routers).known.left.add(life, 'answer')
+        self._random.choice(self._routers).routing_state.left.add(life, 'answer')
         while self._clock.now_s() < began_unix_s + LONGEST_S:
-            if all(router.known.left.said(life) for router in self._routers):
+            if all(router.routing_state.left.said(life) for router in self._routers):
                 break
             await anyio.sleep(LOOK_S)
         return self._clock.now_s() - began_unix_s
--- a/features/subjects/saying_servers.py
+++ b/features/subjects/saying_servers.py
@@ -139,7 +139,7 @@
         """Let time pass, after which the routers forget servers that are gone."""
         await anyio.sleep(seconds)
         for router in self._routers:
-            present = set(router.known.servers)
+            present = set(router.routing_state.servers)
             router.dispatcher.backends.drop_all_but(present, self._clock.now_s())
 
     def _start_router(self, number: int) -> None:
--- a/features/subjects/shares.py
+++ b/features/subjects/shares.py
@@ -12,9 +12,9 @@
 from endivesaddle.fleet.routes.declared import Declarations, RouteAccount
 from endivesaddle.fleet.routes.grant_group import GROUPS, PREFIX, AllocatorContext
 from endivesaddle.fleet.routes.grants import GrantEntry, decode
-from endivesaddle.fleet.routes.known import Known
 from endivesaddle.fleet.routes.prepaid_pools import PrepaidPools, PrepaidPoolsParts
 from endivesaddle.fleet.routes.reservation import Reservation
+from endivesaddle.fleet.routes.routing_state import RoutingState
 from endivesaddle.fleet.sentinels import Refusal
 from endivesaddle.stand_ins.memory_peers import MemoryNet
 from endivesaddle.stand_ins.memory_store import MemoryStore
@@ -54,7 +54,7 @@
         self.names: list[str] = []
         self.pools: dict[str, PrepaidPools] = {}
         self.allocators: dict[str, Allocator] = {}
-        self.known: dict[str, Known] = {}
+        self.routing_state: dict[str, RoutingState] = {}
         self.net = MemoryNet(self._clock)
         self._running: dict[str, anyio.CancelScope] = {}
         self._tasks: list[asyncio.Future[None]] = []
@@ -68,8 +68,8 @@
         """Put a new total in force in all routers."""
         self.total = max(self.total, total)
         self.version += 1
-        for known in self.known.values():
-            known.declare(self._declared(total), b'', 'test')
+        for routing_state in self.routing_state.values():
+            routing_state.declare(self._declared(total), b'', 'test')
 
     def spend(self, router: int, tokens: int, worst: int = 0) -> bool:
         """Have a router carry one request; True when it was admitted."""
@@ -141,14 +141,14 @@
             await self._start(f'router-{len(self.pools)}')
 
     async def _start(self, name: str) -> None:
-        known = Known()
-        known.declare(self._declared(self.total), b'', 'test')
+        routing_state = RoutingState()
+        routing_state.declare(self._declared(self.total), b'', 'test')
         allocator = Allocator(AllocatorContext(name, name, self.store, self._clock))
         choice = AllocatorChoice(Others(self, name), name, self._clock)
         peers = self.net.peers(name)
         timed = TimedPeers(peers, self._clock)
         pools = PrepaidPools(
-            PrepaidPoolsParts(name, name, known, choice, allocator, timed, self._clock)
+            PrepaidPoolsParts(name, name, routing_state, choice, allocator, timed, self._clock)
         )
         handlers = Handlers()
         allocator.register(handlers)
@@ -156,7 +156,7 @@
         self.names.append(name)
         self.pools[name] = pools
         self.allocators[name] = allocator
-        self.known[name] = known
+        self.routing_state[name] = routing_state
         self._running[name] = anyio.CancelScope()
         self._loop_task(name)
         await anyio.sleep(0.2)
--- a/features/subjects/users_platform.py
+++ b/features/subjects/users_platform.py
@@ -18,7 +18,7 @@
 from endivesaddle.fleet.routes.declared import Repeat, RouteServer
 from endivesaddle.fleet.routes.following import Follower
 from endivesaddle.fleet.routes.header_names import HeaderNames
-from endivesaddle.fleet.routes.known import Contact, Known
+from endivesaddle.fleet.routes.routing_state import Contact, RoutingState
 from endivesaddle.stand_ins.etcd_transport import AsgiTransport
 from endivesaddle.stand_ins.memory_store import MemoryStore
 from subjects.httpx_links import HttpxLinks
@@ -105,7 +105,7 @@
         self._clock = LoopClock()
         self.memory = MemoryStore(self._clock)
         self.gateway = KvGateway(self.memory, self._clock)
-        self.known = Known()
+        self.routing_state = RoutingState()
         self.contact = Contact(self._clock)
         self._loop.run(self._open)
 
@@ -157,11 +157,11 @@
 
     def servers(self) -> tuple[RouteServer, ...]:
         """Return the servers that take requests."""
-        return self.known.of_service('engines')
+        return self.routing_state.of_service('engines')
 
     def version(self) -> int:
         """Return the version in force."""
-        return self.known.declarations.version if self.known.declarations else 0
+        return self.routing_state.declarations.version if self.routing_state.declarations else 0
 
     async def _open(self) -> None:
         self.transport = AsgiTransport({'store': self.gateway})
@@ -176,7 +176,7 @@
 
     async def _follow(self) -> None:
         decoder = module('documents').PlatformDecoder()
-        follower = Follower(self.store, decoder, self.known, self._clock, self.contact)
+        follower = Follower(self.store, decoder, self.routing_state, self._clock, self.contact)
         self._following = asyncio.ensure_future(follower.run())
         await anyio.sleep(0.1)
 
--- a/packages/callers/src/endivesaddle/callers/forward_app.py
+++ b/packages/callers/src/endivesaddle/callers/forward_app.py
@@ -17,7 +17,7 @@
 from endivesaddle.fleet.routes.declaration_index import DeclarationIndex
 from endivesaddle.fleet.routes.forwarded import ForwardRequest, Pairs
 from endivesaddle.fleet.routes.header_names import LENGTH, HeaderNames
-from endivesaddle.fleet.routes.known import Known
+from endivesaddle.fleet.routes.routing_state import RoutingState
 from endivesaddle.fleet.routes.running import Runner
 from endivesaddle.fleet.sentinels import NOT_RUN, Refusal
 
@@ -110,7 +110,7 @@
 
     settings: CallersSettings
     header_names: HeaderNames
-    known: Known
+    routing_state: RoutingState
     runner: Runner
     clock: Clock
     metrics: ForwardMetrics
@@ -172,7 +172,7 @@
 
     async def _read(self, exchange: Exchange) -> ForwardRequest | Refusal:
         parts = self._parts
-        declarations = parts.known.declarations
+        declarations = parts.routing_state.declarations
         if parts.stopping.refusing:
             return parts.stopping.refusal()
         if declarations is None:
--- a/packages/daemon/src/endivesaddle/daemon/forward_http.py
+++ b/packages/daemon/src/endivesaddle/daemon/forward_http.py
@@ -19,7 +19,7 @@
 from endivesaddle.callers.listening import listen
 from endivesaddle.callers.settings import CallersSettings
 from endivesaddle.fleet.routes.declared import RequestLimits
-from endivesaddle.fleet.routes.known import Known
+from endivesaddle.fleet.routes.routing_state import RoutingState
 
 SETTLED_S = 0.5
 """Connections that are still open at the end of a stop are closed within this."""
@@ -91,7 +91,7 @@
     app: Any,
     address: str,
     settings: CallersSettings,
-    known: Known,
+    routing_state: RoutingState,
     closed: anyio.Event,
     *,
     task_status: TaskStatus[str] = anyio.TASK_STATUS_IGNORED,
@@ -106,7 +106,11 @@
     state = ServerState()
 
     def opened() -> BoundedHttp:
-        limits = known.declarations.declared.limits if known.declarations else RequestLimits()
+        limits = (
+            routing_state.declarations.declared.limits
+            if routing_state.declarations
+            else RequestLimits()
+        )
         return BoundedHttp(limits, config=config, server_state=state, app_state={})
 
     server = await asyncio.get_running_loop().create_server(opened, sock=listener)
--- a/packages/daemon/src/endivesaddle/daemon/forward_parts.py
+++ b/packages/daemon/src/endivesaddle/daemon/forward_parts.py
@@ -12,8 +12,8 @@
 from endivesaddle.fleet.routes.grant_group import AllocatorContext
 from endivesaddle.fleet.routes.header_names import HeaderNames
 from endivesaddle.fleet.routes.instance_directory import ROUTER, Instance, InstanceDirectory
-from endivesaddle.fleet.routes.known import Contact, Known
 from endivesaddle.fleet.routes.prepaid_pools import PrepaidPools, PrepaidPoolsParts
+from endivesaddle.fleet.routes.routing_state import Contact, RoutingState
 from endivesaddle.fleet.routing.dispatcher import Dispatcher
 
 
@@ -29,7 +29,7 @@
     """What a router believes and decides with."""
 
     store: FailoverStore
-    known: Known
+    routing_state: RoutingState
     contact: Contact
     dispatcher: Dispatcher
     directory: InstanceDirectory
@@ -43,14 +43,16 @@
     """Build the deciding parts of a router."""
     place = settings.place
     store = FailoverStore(ports.store, peers, clock)
-    known = Known()
+    routing_state = RoutingState()
     contact = Contact(clock)
-    dispatcher = Dispatcher(settings.forward, known, clock, place.lifetime)
+    dispatcher = Dispatcher(settings.forward, routing_state, clock, place.lifetime)
     own = Instance(ROUTER, place.lifetime, place.listen, settings.forward.forward_data_centre)
     directory = InstanceDirectory(store, clock, own)
     allocator = Allocator(AllocatorContext(place.lifetime, place.listen, store, clock, peers))
     choice = AllocatorChoice(directory, place.listen, clock)
     pools = PrepaidPools(
-        PrepaidPoolsParts(place.lifetime, place.listen, known, choice, allocator, peers, clock)
+        PrepaidPoolsParts(
+            place.lifetime, place.listen, routing_state, choice, allocator, peers, clock
+        )
     )
-    return Decisions(store, known, contact, dispatcher, directory, pools, allocator)
+    return Decisions(store, routing_state, contact, dispatcher, directory, pools, allocator)
--- a/packages/daemon/src/endivesaddle/daemon/forwarder.py
+++ b/packages/daemon/src/endivesaddle/daemon/forwarder.py
@@ -72,7 +72,9 @@
         self._loop_lag = LoopLag(clock)
         self._stopping = Stopping(self.neighbours.others_stay)
         parts = self.parts
-        self._follower = Follower(parts.store, ports.decoder, parts.known, clock, parts.contact)
+        self._follower = Follower(
+            parts.store, ports.decoder, parts.routing_state, clock, parts.contact
+        )
         self._crashes = StoredCrashes(parts.store, parts.dispatcher.crashes, clock)
         self._metrics = ForwardMetrics(self.state)
         parts.store.observer = self._metrics.store_called
@@ -81,7 +83,7 @@
             ForwardParts(
                 settings.http,
                 ports.header_names,
-                parts.known,
+                parts.routing_state,
                 runner,
                 clock,
                 self._metrics,
@@ -109,7 +111,7 @@
     def state(self) -> dict[str, Any]:
         """Return the whole state for operators; ``counters`` are numbers alone."""
         parts = self.parts
-        known = parts.known
+        routing_state = parts.routing_state
         return {
             'instance': self._settings.place.instance,
             'lifetime': self._settings.place.lifetime,
@@ -117,23 +119,25 @@
             'shares': parts.pools.dump(),
             'grants': parts.allocator.dump(),
             'servers': parts.dispatcher.dump(),
-            'evacuated': sorted(known.evacuations.names),
+            'evacuated': sorted(routing_state.evacuations.names),
             'calls_lately': self._call_times.dump(),
             'crashes': parts.dispatcher.crashes.dump(self._clock.now_s()),
-            'limits': known.limits.dump(self._clock.now_s()),
+            'limits': routing_state.limits.dump(self._clock.now_s()),
             'unread_headers': sorted(self.links.unread.names),
             'unread_names': sorted(self._ports.decoder.unread.names),
             'counters': {
                 'forward_open': self._app.open_count,
                 'connections_opened': self.links.links.opened_count,
-                'declared_version': known.declarations.version if known.declarations else 0,
-                'servers_known': len(known.servers),
+                'declared_version': routing_state.declarations.version
+                if routing_state.declarations
+                else 0,
+                'servers_known': len(routing_state.servers),
                 'store_age_seconds': parts.contact.age_s,
                 'store_away_here': int(parts.store.unavailable),
                 'servers_heard_age_seconds': parts.dispatcher.server_list_age_s(),
                 'late_seconds': self._loop_lag.worst_s(),
                 'sidecars_known': len(parts.directory.sidecars),
-                'evacuated_data_centres': len(known.evacuations.names),
+                'evacuated_data_centres': len(routing_state.evacuations.names),
                 'cold_withheld': parts.dispatcher.send_limits.cold.withheld_count,
                 'limit_withheld': parts.dispatcher.send_limits.limits.withheld_count,
                 'unread_headers': len(self.links.unread.names),
@@ -163,19 +167,27 @@
         place, http = self._settings.place, self._settings.http
         closed = anyio.Event()
         ready = ReadyApp(self._ready)
-        known = self.parts.known
+        routing_state = self.parts.routing_state
         async with anyio.create_task_group() as serving:
-            serving.start_soon(serve_http, self._app, place.http_listen, http, known, closed)
-            serving.start_soon(serve_http, ready, place.ready_listen, http, known, closed)
-            serving.start_soon(serve_http, self._metrics, place.metrics_listen, http, known, closed)
+            serving.start_soon(
+                serve_http, self._app, place.http_listen, http, routing_state, closed
+            )
+            serving.start_soon(serve_http, ready, place.ready_listen, http, routing_state, closed)
+            serving.start_soon(
+                serve_http, self._metrics, place.metrics_listen, http, routing_state, closed
+            )
             events.STARTED.log(address=place.listen, http_address=place.http_listen)
             await stop_signal()
             await self._stop()
             closed.set()
 
     def _ready(self) -> bool:
-        known = self.parts.known
-        able = self.parts.pools.ready() and bool(known.servers) and known.evacuations.heard
+        routing_state = self.parts.routing_state
+        able = (
+            self.parts.pools.ready()
+            and bool(routing_state.servers)
+            and routing_state.evacuations.heard
+        )
         return able and not self._stopping.leaving
 
     async def _stop(self) -> None:
@@ -211,7 +223,7 @@
             self.parts.store.relays = self.parts.directory.relays
             self.parts.store.hubs = self.parts.directory.hubs
             self.parts.pools.routers = len(self.parts.directory.others) + 1
-            present = set(self.parts.known.servers)
+            present = set(self.parts.routing_state.servers)
             self.parts.dispatcher.backends.drop_all_but(present, self._clock.now_s())
             for lifetime in links.lifetimes() - present:
                 links.drop(lifetime)
--- a/packages/fleet/src/endivesaddle/fleet/routes/crash_detection.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/crash_detection.py
@@ -15,7 +15,7 @@
 from endivesaddle.fleet.interfaces import NeverSent, ServerRefused
 from endivesaddle.fleet.routes.declared import RouteServer
 from endivesaddle.fleet.routes.forwarded import ServerConnections
-from endivesaddle.fleet.routes.known import Known
+from endivesaddle.fleet.routes.routing_state import RoutingState
 from endivesaddle.fleet.routing import crash_events as events
 from endivesaddle.fleet.routing.crash_records import CrashRecords, EndedRun
 
@@ -44,16 +44,20 @@
     """Broken runs of one router."""
 
     def __init__(
-        self, records: CrashRecords, known: Known, links: ServerConnections, clock: Clock
+        self,
+        records: CrashRecords,
+        routing_state: RoutingState,
+        links: ServerConnections,
+        clock: Clock,
     ) -> None:
         """Note in ``records`` which requests ran at servers that ended."""
         self._records = records
-        self._known = known
+        self._routing_state = routing_state
         self._links = links
         self._clock = clock
         self._pending: deque[BrokenRun] = deque(maxlen=MOST_PENDING)
         self._ended: deque[str] = deque(maxlen=MOST_ENDED)
-        known.listeners.append(self._look)
+        routing_state.listeners.append(self._look)
 
     async def broke(self, digest: str, server: RouteServer, began_unix_s: float) -> bool:
         """Take in a run that broke, and tell whether its server is known to have ended.
@@ -123,5 +127,7 @@
         One that takes connections may go on without an entry: these lapse while the store is down.
         """
         if broken.listens:
-            return self._known.replaced(broken.server)
-        return broken.server.incarnation in self._ended or not self._known.lists(broken.server)
+            return self._routing_state.replaced(broken.server)
+        return broken.server.incarnation in self._ended or not self._routing_state.lists(
+            broken.server
+        )
--- a/packages/fleet/src/endivesaddle/fleet/routes/declarations.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/declarations.py
@@ -14,8 +14,8 @@
 from endivesaddle.fleet.ports import Handlers, Peers, Stored
 from endivesaddle.fleet.routes import events
 from endivesaddle.fleet.routes.following import Decoder
-from endivesaddle.fleet.routes.known import Contact, Known
 from endivesaddle.fleet.routes.parts import PartsReader, in_parts
+from endivesaddle.fleet.routes.routing_state import Contact, RoutingState
 from endivesaddle.wire import routers_pb2, rpcs
 
 FIRST_S = 0.4
@@ -28,9 +28,9 @@
 class DeclarationsFetch:
     """This router's way to declarations that others have and the store does not tell here."""
 
-    def __init__(self, known: Known, contact: Contact, decoder: Decoder) -> None:
-        """Keep ``known`` up to date."""
-        self._known = known
+    def __init__(self, routing_state: RoutingState, contact: Contact, decoder: Decoder) -> None:
+        """Keep ``routing_state`` up to date."""
+        self._routing_state = routing_state
         self._contact = contact
         self._decoder = decoder
         self._busy = anyio.Lock()
@@ -47,7 +47,7 @@
         if self._busy.locked() or version <= self._version:
             return
         async with self._busy:
-            if not self._contact.away and self._known.declarations is not None:
+            if not self._contact.away and self._routing_state.declarations is not None:
                 await anyio.sleep(STORE_FIRST_S)
             if version <= self._version:
                 return
@@ -67,7 +67,7 @@
 
     @property
     def _version(self) -> int:
-        return self._known.declarations.version if self._known.declarations else 0
+        return self._routing_state.declarations.version if self._routing_state.declarations else 0
 
     def _declare(self, reply: routers_pb2.DeclarationsReply, address: str) -> None:
         if not reply.document:
@@ -79,13 +79,13 @@
             events.DOCUMENT_BAD.log(key=stored.key, version=reply.version, error=str(error))
             return
         if declared is not None:
-            self._known.declare(declared, reply.document, address)
+            self._routing_state.declare(declared, reply.document, address)
 
     async def _tell(
         self, asked: routers_pb2.DeclarationsRequest
     ) -> AsyncIterator[routers_pb2.Part]:
         reply = routers_pb2.DeclarationsReply(version=self._version)
         if asked.version < reply.version:
-            reply.document = self._known.document
+            reply.document = self._routing_state.document
         async for part in in_parts(reply):
             yield part
--- a/packages/fleet/src/endivesaddle/fleet/routes/facts.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/facts.py
@@ -7,7 +7,7 @@
 from endivesaddle.fleet.routes import events
 from endivesaddle.fleet.routes.declared import RouteServer
 from endivesaddle.fleet.routes.instance_directory import InstanceDirectory
-from endivesaddle.fleet.routes.known import Contact, Known
+from endivesaddle.fleet.routes.routing_state import Contact, RoutingState
 from endivesaddle.wire import routers_pb2
 
 FRESH_S = 2.5
@@ -18,10 +18,14 @@
     """What one router tells of the store, and learns from others."""
 
     def __init__(
-        self, known: Known, contact: Contact, directory: InstanceDirectory, clock: Clock
+        self,
+        routing_state: RoutingState,
+        contact: Contact,
+        directory: InstanceDirectory,
+        clock: Clock,
     ) -> None:
-        """Tell what ``known`` and ``directory`` hold, and add to them."""
-        self._known = known
+        """Tell what ``routing_state`` and ``directory`` hold, and add to them."""
+        self._routing_state = routing_state
         self._contact = contact
         self._directory = directory
         self._clock = clock
@@ -29,40 +33,40 @@
     @property
     def wanted(self) -> bool:
         """Whether this router needs to be told."""
-        return self._contact.away or self._known.declarations is None
+        return self._contact.away or self._routing_state.declarations is None
 
     def tell(self, reply: routers_pb2.WordReply) -> None:
         """Add what is known here to a reply."""
-        known = self._known
+        routing_state = self._routing_state
         now_unix_s = self._clock.now_s()
         reply.sidecars.extend(self._directory.sidecars)
-        if known.evacuations.heard:
+        if routing_state.evacuations.heard:
             reply.evacuations_told = True
-            reply.evacuations_version = known.evacuations.version
-            reply.evacuated.extend(sorted(known.evacuations.names))
-        if now_unix_s - known.servers_heard_unix_s < FRESH_S:
+            reply.evacuations_version = routing_state.evacuations.version
+            reply.evacuated.extend(sorted(routing_state.evacuations.names))
+        if now_unix_s - routing_state.servers_heard_unix_s < FRESH_S:
             reply.servers_told = True
-            reply.servers_version = known.servers_version
+            reply.servers_version = routing_state.servers_version
             reply.servers.extend(
-                _server_message(server, now_unix_s) for server in known.servers.values()
+                _server_message(server, now_unix_s) for server in routing_state.servers.values()
             )
 
     def learn(self, reply: routers_pb2.WordReply, address: str) -> None:
         """Take in what the router at ``address`` told, as far as it is newer."""
-        known = self._known
+        routing_state = self._routing_state
         now_unix_s = self._clock.now_s()
         if not self._directory.sidecars:
             # A router that starts while it is cut off learns of them here alone.
             self._directory.sidecars = tuple(reply.sidecars)
         if reply.evacuations_told:
             version = reply.evacuations_version
-            known.evacuations.replace(reply.evacuated, version, now_unix_s, address)
+            routing_state.evacuations.replace(reply.evacuated, version, now_unix_s, address)
         if not reply.servers_told or not self._contact.away:
             return
-        before = set(known.servers)
+        before = set(routing_state.servers)
         servers = {server.lifetime: _server(server, now_unix_s) for server in reply.servers}
-        known.replace(servers, reply.servers_version, address)
-        if before != set(known.servers):
+        routing_state.replace(servers, reply.servers_version, address)
+        if before != set(routing_state.servers):
             events.FACTS.log(
                 other=address, store_age_s=reply.word.store_age_s, servers=len(reply.servers)
             )
--- a/packages/fleet/src/endivesaddle/fleet/routes/following.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/following.py
@@ -15,7 +15,7 @@
 from endivesaddle.fleet.ports import Stored
 from endivesaddle.fleet.routes import events
 from endivesaddle.fleet.routes.declared import Declarations, RouteServer
-from endivesaddle.fleet.routes.known import Contact, Known
+from endivesaddle.fleet.routes.routing_state import Contact, RoutingState
 from endivesaddle.fleet.routes.unread_names import UnreadNames
 from endivesaddle.fleet.sentinels import Absent
 
@@ -87,15 +87,20 @@
 
 
 class Follower:
-    """Keep ``known`` up to date from the store."""
+    """Keep ``routing_state`` up to date from the store."""
 
     def __init__(
-        self, store: PolledStore, decoder: Decoder, known: Known, clock: Clock, contact: Contact
+        self,
+        store: PolledStore,
+        decoder: Decoder,
+        routing_state: RoutingState,
+        clock: Clock,
+        contact: Contact,
     ) -> None:
         """Follow ``store``; ``decoder`` reads what lies there."""
         self._store = store
         self._decoder = decoder
-        self._known = known
+        self._routing_state = routing_state
         self._clock = clock
         self.contact = contact
 
@@ -155,7 +160,9 @@
     def _list_declared(self, changes: Changes) -> None:
         """Take in all that the operator wrote: a data centre that is not there is not evacuated."""
         names = {self._decoder.evacuated(stored.key) for stored in changes.entries}
-        self._known.evacuations.replace(names - {''}, changes.version, self._clock.now_s(), 'store')
+        self._routing_state.evacuations.replace(
+            names - {''}, changes.version, self._clock.now_s(), 'store'
+        )
         for stored in changes.entries:
             if stored.key == self._decoder.declared_key and stored.value is not None:
                 self._declare(stored, stored.value)
@@ -164,7 +171,7 @@
         for stored in changes.entries:
             name = self._decoder.evacuated(stored.key)
             if name:
-                self._known.evacuations.change(
+                self._routing_state.evacuations.change(
                     name,
                     stored.value is not None,
                     stored.version,
@@ -181,25 +188,25 @@
             events.DOCUMENT_BAD.log(key=stored.key, version=stored.version, error=str(error))
             return
         if declared is not None:
-            self._known.declare(declared, document, 'store')
+            self._routing_state.declare(declared, document, 'store')
 
     def _list_servers(self, changes: Changes) -> None:
-        if changes.version < self._known.servers_version:
+        if changes.version < self._routing_state.servers_version:
             # It was under way while another router told a newer list.
             return
-        self._known.heard_servers(changes.version, self._clock.now_s())
+        self._routing_state.heard_servers(changes.version, self._clock.now_s())
         present = set()
         for stored in changes.entries:
             present.add(self._decoder.lifetime(stored.key))
             self._server(stored)
-        for lifetime in set(self._known.servers) - present:
+        for lifetime in set(self._routing_state.servers) - present:
             self._missing(lifetime)
 
     def _change_servers(self, changes: Changes) -> None:
         # What another router told while the store did not answer here may be newer than a part of
         # these: taken in again, that part would bring back servers that have left.
-        newer_than = self._known.servers_version
-        self._known.heard_servers(changes.version, self._clock.now_s())
+        newer_than = self._routing_state.servers_version
+        self._routing_state.heard_servers(changes.version, self._clock.now_s())
         for stored in changes.entries:
             if stored.version <= newer_than:
                 continue
@@ -211,24 +218,24 @@
     def _server(self, stored: Stored) -> None:
         try:
             server = self._decoder.server(stored, self._clock.now_s())
-            self._known.server(server, 'store', stored.version)
+            self._routing_state.server(server, 'store', stored.version)
         except ValueError as error:
             # It names no server to use: another writer's, or what became of the entry of one.
             events.DOCUMENT_BAD.log(key=stored.key, version=stored.version, error=str(error))
-            self._known.withdrawn(self._decoder.lifetime(stored.key), 'unreadable')
+            self._routing_state.withdrawn(self._decoder.lifetime(stored.key), 'unreadable')
 
     def _missing(self, lifetime: str) -> None:
         since_s = self._clock.now_s() - self.contact.regained_unix_s
-        if since_s < LAPSE_S and lifetime in self._known.servers:
-            self._known.missing.setdefault(lifetime, self._clock.now_s())
+        if since_s < LAPSE_S and lifetime in self._routing_state.servers:
+            self._routing_state.missing.setdefault(lifetime, self._clock.now_s())
         else:
-            self._known.withdrawn(lifetime, 'store')
+            self._routing_state.withdrawn(lifetime, 'store')
 
     async def _lapse(self) -> None:
         """Withdraw what stayed missing after an outage."""
         while True:
-            await anyio.sleep(PAUSE_S if self._known.missing else LOOK_S)
+            await anyio.sleep(PAUSE_S if self._routing_state.missing else LOOK_S)
             latest_unix_s = self._clock.now_s() - LAPSE_S
-            for lifetime, since_unix_s in list(self._known.missing.items()):
+            for lifetime, since_unix_s in list(self._routing_state.missing.items()):
                 if since_unix_s < latest_unix_s:
-                    self._known.withdrawn(lifetime, 'lapsed')
+                    self._routing_state.withdrawn(lifetime, 'lapsed')
--- a/packages/fleet/src/endivesaddle/fleet/routes/neighbours.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/neighbours.py
@@ -20,9 +20,9 @@
 from endivesaddle.fleet.routes.facts import Facts
 from endivesaddle.fleet.routes.following import Decoder
 from endivesaddle.fleet.routes.instance_directory import InstanceDirectory
-from endivesaddle.fleet.routes.known import Contact, Known
 from endivesaddle.fleet.routes.left_servers import ANSWER
 from endivesaddle.fleet.routes.news import News, NewsSources, Reader
+from endivesaddle.fleet.routes.routing_state import Contact, RoutingState
 from endivesaddle.fleet.routing.dispatcher import Dispatcher
 from endivesaddle.fleet.routing.sent_parts import SentPart
 from endivesaddle.wire import routers_pb2, rpcs
@@ -55,7 +55,7 @@
 class NeighbourParts(NamedTuple):
     """What a router has to tell and to learn."""
 
-    known: Known
+    routing_state: RoutingState
     contact: Contact
     dispatcher: Dispatcher
     directory: InstanceDirectory
@@ -81,17 +81,20 @@
         self._parts_told = parts.dispatcher.sent_parts.count
         self._seen_board = ''
         self._news = News(
-            NewsSources(parts.dispatcher.crashes, parts.known.left, parts.known.limits), clock
+            NewsSources(
+                parts.dispatcher.crashes, parts.routing_state.left, parts.routing_state.limits
+            ),
+            clock,
         )
         self._news_seen = routers_pb2.NewsMark()
         self._board = Reader()
         self._own_news = anyio.Event()
         parts.dispatcher.crashes.listeners.append(self._met)
-        parts.known.left.listeners.append(self._met)
-        parts.known.limits.listeners.append(self._met)
+        parts.routing_state.left.listeners.append(self._met)
+        parts.routing_state.limits.listeners.append(self._met)
         self._leaving: set[str] = set()
-        self._facts = Facts(parts.known, parts.contact, parts.directory, clock)
-        self._declarations = DeclarationsFetch(parts.known, parts.contact, parts.decoder)
+        self._facts = Facts(parts.routing_state, parts.contact, parts.directory, clock)
+        self._declarations = DeclarationsFetch(parts.routing_state, parts.contact, parts.decoder)
         self._large = anyio.Event()
         parts.dispatcher.large_prompt_listeners.append(self._sent_large)
         self._talking: dict[str, anyio.CancelScope] = {}
@@ -123,13 +126,13 @@
         return bool(self._lanes.keys() - self._leaving)
 
     def _addresses(self) -> set[str]:
-        away = self._parts.contact.away or self._parts.known.declarations is None
+        away = self._parts.contact.away or self._parts.routing_state.declarations is None
         if self._board_address() and not away:
             return set()
-        known = set(self._parts.directory.others.values())
-        if not known or self._parts.known.declarations is None:
-            known |= set(self._parts.seeds)
-        return known - {self._address}
+        addresses = set(self._parts.directory.others.values())
+        if not addresses or self._parts.routing_state.declarations is None:
+            addresses |= set(self._parts.seeds)
+        return addresses - {self._address}
 
     def _count_routers(self) -> None:
         directory, dispatcher = self._parts.directory, self._parts.dispatcher
@@ -251,7 +254,9 @@
         return routers_pb2.Word(
             lifetime=self._lifetime,
             address=self._address,
-            version=parts.known.declarations.version if parts.known.declarations else 0,
+            version=parts.routing_state.declarations.version
+            if parts.routing_state.declarations
+            else 0,
             store_age_s=parts.contact.age_s,
             lanes=_lane_words(parts.dispatcher),
             wants_facts=self._facts.wanted,
--- a/packages/fleet/src/endivesaddle/fleet/routes/prepaid_pools.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/prepaid_pools.py
@@ -20,8 +20,8 @@
 from endivesaddle.fleet.routes.declared import RouteAccount
 from endivesaddle.fleet.routes.grant_group import GROUPS, group_of
 from endivesaddle.fleet.routes.grants import LOWER_ABOVE, MIN_CHANGE_TOKENS
-from endivesaddle.fleet.routes.known import Known
 from endivesaddle.fleet.routes.reservation import Reservation
+from endivesaddle.fleet.routes.routing_state import RoutingState
 from endivesaddle.fleet.sentinels import NOT_RUN, Refusal
 from endivesaddle.wire import rpcs
 from endivesaddle.wire.routers_pb2 import (
@@ -63,7 +63,7 @@
 
     lifetime: str
     address: str
-    known: Known
+    routing_state: RoutingState
     choice: AllocatorChoice
     own: Allocator
     peers: TimedPeers
@@ -136,7 +136,7 @@
 
     def ready(self) -> bool:
         """Tell whether the accounts are known."""
-        return self._parts.known.declarations is not None
+        return self._parts.routing_state.declarations is not None
 
     def dump(self) -> dict[str, dict[str, float]]:
         """Return what is held for operators."""
@@ -164,7 +164,7 @@
 
     def _limited(self) -> list[str]:
         """Return the names of the accounts that have a total."""
-        declarations = self._parts.known.declarations
+        declarations = self._parts.routing_state.declarations
         accounts = declarations.accounts.values() if declarations else ()
         return [one.name for one in accounts if one.total_tokens is not None]
 
@@ -215,12 +215,12 @@
         return self._parts.choice.ranked(group)[0]
 
     def _request(self) -> DrawRequest:
-        declarations = self._parts.known.declarations
+        declarations = self._parts.routing_state.declarations
         version = declarations.version if declarations else 0
         return DrawRequest(lifetime=self._parts.lifetime, version=version)
 
     def _total(self, name: str) -> int:
-        declarations = self._parts.known.declarations
+        declarations = self._parts.routing_state.declarations
         account = declarations.accounts.get(name) if declarations else None
         if account is None or account.total_tokens is None:
             return 0
--- a/packages/fleet/src/endivesaddle/fleet/routes/known.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/routing_state.py
@@ -13,7 +13,7 @@
 Listener = Callable[[], None]
 
 
-class Known:
+class RoutingState:
     """The newest declarations and the servers that take requests.
 
     A version never goes back in the life of a process: callers that saw the
--- a/packages/fleet/src/endivesaddle/fleet/routes/running.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/running.py
@@ -24,7 +24,7 @@
         self, dispatcher: Dispatcher, pools: PrepaidPools, links: ServerConnections, clock: Clock
     ) -> None:
         """Carry requests over ``links``."""
-        crashes = CrashDetector(dispatcher.crashes, dispatcher.known, links, clock)
+        crashes = CrashDetector(dispatcher.crashes, dispatcher.routing_state, links, clock)
         self.parts = ExecutionParts(dispatcher, links, clock, crashes)
         self._pools = pools
 
--- a/packages/fleet/src/endivesaddle/fleet/routing/candidates.py
+++ b/packages/fleet/src/endivesaddle/fleet/routing/candidates.py
@@ -4,7 +4,7 @@
 
 from endivesaddle.fleet.routes.declared import RouteServer
 from endivesaddle.fleet.routes.forwarded import ForwardRequest
-from endivesaddle.fleet.routes.known import Known
+from endivesaddle.fleet.routes.routing_state import RoutingState
 from endivesaddle.fleet.routing.backends import Backend, Backends
 from endivesaddle.fleet.routing.sending_bounds import SendingBounds
 
@@ -24,10 +24,14 @@
     """The servers of one router; ``regions`` are "data-centre=region"."""
 
     def __init__(
-        self, known: Known, backends: Backends, bounds: SendingBounds, regions: tuple[str, ...]
+        self,
+        routing_state: RoutingState,
+        backends: Backends,
+        bounds: SendingBounds,
+        regions: tuple[str, ...],
     ) -> None:
-        """Choose among the servers that ``known`` holds."""
-        self._known = known
+        """Choose among the servers that ``routing_state`` holds."""
+        self._routing_state = routing_state
         self._backends = backends
         self._bounds = bounds
         self._regions = dict(entry.split('=', 1) for entry in regions)
@@ -39,7 +43,7 @@
 
         A server that does not want any has said so; one that fell silent may be back.
         """
-        servers = self._at_home(request, self._known.of_service(service))
+        servers = self._at_home(request, self._routing_state.of_service(service))
         backends = [self._backends.of(one) for one in servers if one.lifetime not in exclude]
         backends = [backend for backend in backends if backend.accepts_requests(now_unix_s)]
         backends = [
@@ -54,10 +58,10 @@
         named a limit, or lie in evacuated data centres.  Told to come back sooner, callers used up
         their tries.
         """
-        evacuated_too = self._known.all_of_service(service)
+        evacuated_too = self._routing_state.all_of_service(service)
         if evacuated_too and not self._at_home(request, evacuated_too):
             return NoServer('no server of the service is in a home region')
-        servers = self._at_home(request, self._known.of_service(service))
+        servers = self._at_home(request, self._routing_state.of_service(service))
         if evacuated_too and not servers:
             return NoServer('all servers of the service are in evacuated data centres', EVACUATED_S)
         free_unix_s = [self._free_unix_s(self._backends.of(one), now_unix_s) for one in servers]
--- a/packages/fleet/src/endivesaddle/fleet/routing/cold_starts.py
+++ b/packages/fleet/src/endivesaddle/fleet/routing/cold_starts.py
@@ -10,7 +10,7 @@
 
 from endivesaddle.fleet.registry import Registry
 from endivesaddle.fleet.routes.declared import Service
-from endivesaddle.fleet.routes.known import Known
+from endivesaddle.fleet.routes.routing_state import RoutingState
 from endivesaddle.fleet.routing.backends import Backend
 from endivesaddle.fleet.routing.rendezvous import weight
 
@@ -71,14 +71,14 @@
 class ColdStarts:
     """What this router may send to cold servers; ``routers`` are all addresses, its ``own`` too."""
 
-    def __init__(self, policy: str, known: Known, own: str) -> None:
+    def __init__(self, policy: str, routing_state: RoutingState, own: str) -> None:
         """Decide by a registered policy for the router ``own``."""
         self.own = own
         self.routers: Collection[str] = (own,)
         self.settled = False
         self.withheld_count = 0
         self._policy = cold_policies.find(policy)
-        self._known = known
+        self._routing_state = routing_state
 
     def cold_until_unix_s(self, backend: Backend, now_unix_s: float) -> float:
         """Return until when a server is cold, or may be; 0 where it is not."""
@@ -86,7 +86,7 @@
         if service is None or not service.cold_per_s:
             return 0.0
         until_unix_s = max(
-            self._known.cold_until_unix_s(backend.server),
+            self._routing_state.cold_until_unix_s(backend.server),
             backend.cold_until_unix_s(service.cold_s, now_unix_s),
         )
         return until_unix_s if until_unix_s > now_unix_s else 0.0
@@ -126,5 +126,5 @@
         )
 
     def _service(self, backend: Backend) -> Service | None:
-        declarations = self._known.declarations
+        declarations = self._routing_state.declarations
         return declarations.services.get(backend.server.service) if declarations else None
--- a/packages/fleet/src/endivesaddle/fleet/routing/dispatcher.py
+++ b/packages/fleet/src/endivesaddle/fleet/routing/dispatcher.py
@@ -7,7 +7,7 @@
 from endivesaddle.fleet.clock import Clock
 from endivesaddle.fleet.routes.declared import Route
 from endivesaddle.fleet.routes.forwarded import ForwardRequest, ServerResponse
-from endivesaddle.fleet.routes.known import Known
+from endivesaddle.fleet.routes.routing_state import RoutingState
 from endivesaddle.fleet.routing.backends import Backend, Backends, ForwardRoutingRequest, is_engine
 from endivesaddle.fleet.routing.candidates import Candidates
 from endivesaddle.fleet.routing.choosing import ASKED_TOKENS, Desks, NoDesks, choose
@@ -99,25 +99,27 @@
         # Nobody knows when the answer of another request was begun.
         sent_unix_s = self._entered_unix_s if answer.own else 0.0
         heading = SignalHeader('', answer.status, sent_unix_s, self._dispatcher.now_s())
-        apply_signals(answer.signals, heading, self.backend, self._dispatcher.known)
+        apply_signals(answer.signals, heading, self.backend, self._dispatcher.routing_state)
 
     def mark_misdirected(self) -> None:
         """Note that the address belongs to another server now."""
-        self._dispatcher.known.withdrawn(self.backend.server.lifetime, 'misdirected')
+        self._dispatcher.routing_state.withdrawn(self.backend.server.lifetime, 'misdirected')
 
 
 class Dispatcher:
     """The decisions of one router."""
 
-    def __init__(self, settings: ForwardSettings, known: Known, clock: Clock, name: str) -> None:
-        """Decide on what ``known`` holds; random choices are seeded by ``name``."""
-        self.known = known
+    def __init__(
+        self, settings: ForwardSettings, routing_state: RoutingState, clock: Clock, name: str
+    ) -> None:
+        """Decide on what ``routing_state`` holds; random choices are seeded by ``name``."""
+        self.routing_state = routing_state
         self.backends = Backends()
         self.sent_parts = SentParts()
         self.crashes = CrashRecords(settings)
         self.send_limits = SendingBounds(
-            ColdStarts(settings.cold_policy, known, name),
-            LimitShares(settings.limit_policy, known.limits, name),
+            ColdStarts(settings.cold_policy, routing_state, name),
+            LimitShares(settings.limit_policy, routing_state.limits, name),
         )
         self.large_prompt_listeners: list[Callable[[], None]] = []
         self.counts: Counter[str] = Counter()
@@ -126,7 +128,9 @@
         self._settings = settings
         self._clock = clock
         self._random = Random(name)
-        self._candidates = Candidates(known, self.backends, self.send_limits, settings.regions)
+        self._candidates = Candidates(
+            routing_state, self.backends, self.send_limits, settings.regions
+        )
         self._shares: dict[str, RetryShare] = {}
         self._turn = 0
 
@@ -140,7 +144,7 @@
         A poll that waits for a change counts from its beginning: 2.7 s are the most while the store
         answers.
         """
-        return round(self.now_s() - self.known.servers_heard_unix_s, 2)
+        return round(self.now_s() - self.routing_state.servers_heard_unix_s, 2)
 
     async def place(self, request: ForwardRequest, exclude: frozenset[str]) -> Placement | Refusal:
         """Choose a server for a request, not one that it was sent to already."""
@@ -152,7 +156,9 @@
         if not backends:
             return self._none(request, service)
         engine = is_engine(
-            self.known.declarations.services.get(service) if self.known.declarations else None
+            self.routing_state.declarations.services.get(service)
+            if self.routing_state.declarations
+            else None
         )
         name = self._settings.forward_policy if engine else 'least_busy'
         self._turn += 1
@@ -193,7 +199,7 @@
 
     def accepts_requests(self, backend: Backend) -> bool:
         """Tell whether a server may be sent a request now."""
-        return self.known.takes(backend.server) and backend.accepts_requests(self.now_s())
+        return self.routing_state.takes(backend.server) and backend.accepts_requests(self.now_s())
 
     def may_retry(self, request: ForwardRequest) -> bool:
         """Spend one repeat of the service's share."""
@@ -207,7 +213,7 @@
         Where the service does not say, one event may be the whole answer: counted as
         nothing, streams of a plain service would overdraw the account.
         """
-        declarations = self.known.declarations
+        declarations = self.routing_state.declarations
         service = declarations.services.get(self._service(request)) if declarations else None
         said = service.event_tokens if service else 0
         return said or request.max_tokens
--- a/packages/fleet/src/endivesaddle/fleet/routing/server_signals.py
+++ b/packages/fleet/src/endivesaddle/fleet/routing/server_signals.py
@@ -10,8 +10,8 @@
 from typing import NamedTuple
 
 from endivesaddle.fleet.registry import Registry
-from endivesaddle.fleet.routes.known import Known
 from endivesaddle.fleet.routes.left_servers import ANSWER, LeftLife
+from endivesaddle.fleet.routes.routing_state import RoutingState
 from endivesaddle.fleet.routing import forward_events as events
 from endivesaddle.fleet.routing.backends import Backend
 
@@ -31,20 +31,22 @@
     now_unix_s: float
 
 
-Signal = Callable[[SignalHeader, Backend, Known], None]
+Signal = Callable[[SignalHeader, Backend, RoutingState], None]
 
 server_signals: Registry[Signal] = Registry('server signal')
 
 
 @server_signals.add('leaving')
-def leaving(header: SignalHeader, backend: Backend, known: Known) -> None:
+def leaving(header: SignalHeader, backend: Backend, routing_state: RoutingState) -> None:
     """Note for all routers that a server wants no more requests in this life."""
     if header.text.strip() == YES:
-        known.left.add(LeftLife(backend.server.lifetime, backend.server.born_unix_ms), ANSWER)
+        routing_state.left.add(
+            LeftLife(backend.server.lifetime, backend.server.born_unix_ms), ANSWER
+        )
 
 
 @server_signals.add('retry_after')
-def retry_after(header: SignalHeader, backend: Backend, known: Known) -> None:
+def retry_after(header: SignalHeader, backend: Backend, routing_state: RoutingState) -> None:
     """Note for this router, to which it was said, that a server wants none for a while."""
     wanted_in_s = number(header.text) if header.status == UNAVAILABLE else None
     if wanted_in_s:
@@ -53,14 +55,16 @@
 
 
 @server_signals.add('limit')
-def limit(header: SignalHeader, backend: Backend, known: Known) -> None:
+def limit(header: SignalHeader, backend: Backend, routing_state: RoutingState) -> None:
     """Note for all routers how many requests a second a server takes from them together."""
     if not header.text:
-        known.limits.withdrawn(backend.server.incarnation, header.sent_unix_s, header.now_unix_s)
+        routing_state.limits.withdrawn(
+            backend.server.incarnation, header.sent_unix_s, header.now_unix_s
+        )
         return
     per_s = number(header.text)
     if per_s is not None:
-        known.limits.advertised(backend.server.incarnation, per_s, header.now_unix_s)
+        routing_state.limits.advertised(backend.server.incarnation, per_s, header.now_unix_s)
 
 
 _ALL = tuple((name, server_signals.find(name)) for name in server_signals)
@@ -79,8 +83,8 @@
 
 
 def apply_signals(
-    texts: Mapping[str, str], heading: SignalHeader, backend: Backend, known: Known
+    texts: Mapping[str, str], heading: SignalHeader, backend: Backend, routing_state: RoutingState
 ) -> None:
     """Note all signals of an answer; ``texts`` has those that it gives, by name."""
     for name, signal in _ALL:
-        signal(heading._replace(text=texts.get(name, '')), backend, known)
+        signal(heading._replace(text=texts.get(name, '')), backend, routing_state)
