--- a/features/subjects/processes.py
+++ b/features/subjects/processes.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from endivesaddle.fleet.clock import WallClock
-from endivesaddle.fleet.configuration import SHARDS
+from endivesaddle.fleet.configuration import SHARD_COUNT
 from endivesaddle.operators.access import token_digest
 from endivesaddle.stand_ins.engine import EngineApp, Message, Receive, Send
 from endivesaddle.stand_ins.engine_state import EngineState
@@ -151,7 +151,7 @@
             await warm.take()
             if not warm.whole():
                 return False
-        return len(held) == SHARDS
+        return len(held) == SHARD_COUNT
 
     def _declarations(self) -> list[str]:
         centres = '\n'.join(f'{name} = "north"' for name in sorted(set(self.data_centres)))
--- a/features/subjects/server_connections.py
+++ b/features/subjects/server_connections.py
@@ -10,7 +10,7 @@
 
 from endivesaddle.backend_servers.forward_calls import ForwardLinks
 from endivesaddle.backend_servers.kept_links import KeptLinks
-from endivesaddle.fleet.clock import SteadyClock
+from endivesaddle.fleet.clock import MonotonicClock
 from endivesaddle.fleet.interfaces import NeverSent, ServerLost, ServerRefused
 from endivesaddle.fleet.routes.declared import Repeat, Route, RouteAccount, RouteServer, Target
 from endivesaddle.fleet.routes.forwarded import ForwardRequest, ServerCall
@@ -182,7 +182,7 @@
         anyio.run(self._play, self._given_up, SMALL)
 
     async def _look(self) -> None:
-        links = ForwardLinks(KeptLinks(), HeaderNames(), SteadyClock())
+        links = ForwardLinks(KeptLinks(), HeaderNames(), MonotonicClock())
         server = await asyncio.start_server(self._serve, '127.0.0.1', 0)
         host, port = server.sockets[0].getsockname()
         address = f'{host}:{port}'
@@ -203,7 +203,7 @@
             server.close()
 
     async def _each(self, address: str, body: bytes) -> None:
-        links = ForwardLinks(KeptLinks(), HeaderNames(), SteadyClock())
+        links = ForwardLinks(KeptLinks(), HeaderNames(), MonotonicClock())
         for number, _ in enumerate(self._scripts):
             self.outcomes.append(await self._sent(links, _call(number, address, body)))
             while len(self.bodies) < len(self.heads):
@@ -212,7 +212,7 @@
         self.opened_count = links.links.opened_count
 
     async def _given_up(self, address: str, body: bytes) -> None:
-        links = ForwardLinks(KeptLinks(), HeaderNames(), SteadyClock())
+        links = ForwardLinks(KeptLinks(), HeaderNames(), MonotonicClock())
         async with anyio.create_task_group() as group:
             group.start_soon(self._sent, links, _call(0, address, body))
             while not self.bodies:
@@ -265,7 +265,7 @@
 
 
 def _call(number: int, address: str, body: bytes) -> ServerCall:
-    now_unix_s = SteadyClock().now_s()
+    now_unix_s = MonotonicClock().now_s()
     route = Route('r', 'boards', '/b/', Repeat.SAFE, 4000, 500, 1, (Target('plain', 1),))
     request = ForwardRequest(
         request_id=str(number),
--- a/packages/daemon/src/endivesaddle/daemon/forwarder.py
+++ b/packages/daemon/src/endivesaddle/daemon/forwarder.py
@@ -18,7 +18,7 @@
 from endivesaddle.daemon.forward_parts import ForwardPorts, decisions
 from endivesaddle.daemon.forwarder_settings import ForwarderSettings
 from endivesaddle.daemon.stopping import stop_signal
-from endivesaddle.fleet.clock import SteadyClock
+from endivesaddle.fleet.clock import MonotonicClock
 from endivesaddle.fleet.ports import Handlers
 from endivesaddle.fleet.routes.call_times import TimedPeers
 from endivesaddle.fleet.routes.desks import SidecarDesks
@@ -49,7 +49,7 @@
 
     def __init__(self, settings: ForwarderSettings, ports: ForwardPorts) -> None:
         """Build all parts; ``run`` starts them."""
-        clock = SteadyClock()
+        clock = MonotonicClock()
         place = settings.place
         peers = TimedPeers(GrpcPeers(settings.links, clock), clock)
         self.parts = decisions(settings, ports, peers, clock)
--- a/packages/daemon/src/endivesaddle/daemon/logs.py
+++ b/packages/daemon/src/endivesaddle/daemon/logs.py
@@ -7,7 +7,7 @@
 
 from endivesaddle.daemon.bounded_log import BoundedLog
 from endivesaddle.daemon.settings import LogSettings
-from endivesaddle.fleet.clock import SteadyClock
+from endivesaddle.fleet.clock import MonotonicClock
 
 if TYPE_CHECKING:
     from loguru import Message
@@ -24,7 +24,7 @@
     logger.remove()
     logger.configure(extra={'event': 0, 'instance': instance})
     if settings.log_format == 'json':
-        log = BoundedLog(sys.stdout.fileno(), SteadyClock())
+        log = BoundedLog(sys.stdout.fileno(), MonotonicClock())
         logger.add(lambda message: _write_json(log, message), level=settings.log_level)
         return
     logger.add(sys.stderr, level=settings.log_level, format=TEXT_FORMAT)
--- a/packages/daemon/src/endivesaddle/daemon/store_sidecar.py
+++ b/packages/daemon/src/endivesaddle/daemon/store_sidecar.py
@@ -12,7 +12,7 @@
 from endivesaddle.daemon.settings import LogSettings
 from endivesaddle.daemon.stopping import stop_signal
 from endivesaddle.fleet import settings as options
-from endivesaddle.fleet.clock import SteadyClock
+from endivesaddle.fleet.clock import MonotonicClock
 from endivesaddle.fleet.ports import Handlers
 from endivesaddle.fleet.routes.allocator import Allocator
 from endivesaddle.fleet.routes.board import Board
@@ -59,7 +59,7 @@
         """Make the calls of others to ``store``."""
         self._settings = settings
         self._store = store
-        self._clock = SteadyClock()
+        self._clock = MonotonicClock()
         self._polls = SharedPolls(store, self._clock)
         own = Instance(SIDECAR, settings.lifetime, settings.listen, settings.data_centre)
         self._entry = InstanceEntry(store, self._clock, own, SIDECAR_LEASE_S)
--- a/packages/fleet/src/endivesaddle/fleet/budgets/assignment.py
+++ b/packages/fleet/src/endivesaddle/fleet/budgets/assignment.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Collection
 
-from endivesaddle.fleet.configuration import SHARDS, rendezvous
+from endivesaddle.fleet.configuration import SHARD_COUNT, rendezvous
 from endivesaddle.fleet.identity import Identity
 from endivesaddle.fleet.ports import FleetView
 
@@ -19,7 +19,7 @@
         """Look from one instance."""
         self._identity = identity
         self._view = view
-        self.shards: Collection[int] = range(SHARDS)
+        self.shards: Collection[int] = range(SHARD_COUNT)
         self._known: dict[str, tuple[tuple[str, ...], list[str]]] = {}
 
     def own_shards(self) -> list[int]:
@@ -59,7 +59,9 @@
         known = self._known.get(data_centre)
         if known is None or known[0] != names:
             first = [
-                rendezvous(f'budgets/{shard}', list(names))[0] for shard in range(SHARDS) if names
+                rendezvous(f'budgets/{shard}', list(names))[0]
+                for shard in range(SHARD_COUNT)
+                if names
             ]
             known = (names, first)
             self._known[data_centre] = known
--- a/packages/fleet/src/endivesaddle/fleet/budgets/records.py
+++ b/packages/fleet/src/endivesaddle/fleet/budgets/records.py
@@ -14,7 +14,7 @@
 
 import xxhash
 
-from endivesaddle.fleet.configuration import SHARDS
+from endivesaddle.fleet.configuration import SHARD_COUNT
 
 FORMAT = 1
 RECENT_TOP_UPS = 16
@@ -97,7 +97,7 @@
 
 def key_of(shard: int) -> str:
     """Return the store's key of a shard."""
-    return f'budgets/{shard:0{len(str(SHARDS))}d}'
+    return f'budgets/{shard:0{len(str(SHARD_COUNT))}d}'
 
 
 def new_record() -> ShardRecord:
--- a/packages/fleet/src/endivesaddle/fleet/clock.py
+++ b/packages/fleet/src/endivesaddle/fleet/clock.py
@@ -45,7 +45,7 @@
     return max(0, deadline_unix_s - clock.now_s())
 
 
-class SteadyClock:
+class MonotonicClock:
     """Count on from the wall clock at the start, by the clock that no step of it moves.
 
     Failure: the time of day jumps by seconds, and every deadline is over or far
--- a/packages/fleet/src/endivesaddle/fleet/configuration.py
+++ b/packages/fleet/src/endivesaddle/fleet/configuration.py
@@ -84,13 +84,13 @@
     policy: dict[str, str] = {}
 
 
-SHARDS = 64
+SHARD_COUNT = 64
 """Budget shards; fixed for the life of a deployment."""
 
 
 def shard_of(account: str) -> int:
     """Return the budget shard of an account."""
-    return xxhash.xxh3_64_intdigest(account.encode()) % SHARDS
+    return xxhash.xxh3_64_intdigest(account.encode()) % SHARD_COUNT
 
 
 def rendezvous(key: str, names: list[str]) -> list[str]:
--- a/packages/stand_ins/src/endivesaddle/stand_ins/budget_scale.py
+++ b/packages/stand_ins/src/endivesaddle/stand_ins/budget_scale.py
@@ -13,7 +13,7 @@
 
 from endivesaddle.fleet.budgets import record_format, records, top_ups
 from endivesaddle.fleet.budgets.settings import BudgetSettings
-from endivesaddle.fleet.configuration import SHARDS, shard_of
+from endivesaddle.fleet.configuration import SHARD_COUNT, shard_of
 from endivesaddle.stand_ins import virtual
 from endivesaddle.stand_ins.budget_bench import CONTROL
 from endivesaddle.stand_ins.budget_fleet import BudgetFleet
@@ -66,7 +66,7 @@
     """Measure the record of a shard."""
     record = records.new_record()
     chance = random.Random(1)
-    for account in islice(names(0), BUDGETS // SHARDS + 1):
+    for account in islice(names(0), BUDGETS // SHARD_COUNT + 1):
         budget = records.new_budget()
         for _ in range(paid):
             budget['top_ups'][f'order-{chance.randrange(10**9)}'] = chance.randrange(10**8, 10**9)
@@ -98,8 +98,8 @@
         """Prepare for some seconds."""
         self._length_s = length_s
         self._chance = random.Random(seed)
-        self._accounts = list(islice(names(0), BUDGETS // SHARDS + 1))
-        self._steady = self._accounts[: _STEADY // SHARDS]
+        self._accounts = list(islice(names(0), BUDGETS // SHARD_COUNT + 1))
+        self._steady = self._accounts[: _STEADY // SHARD_COUNT]
         self._refused = 0
         self._sent = 0
 
@@ -129,7 +129,7 @@
     async def _enter(self, fleet: BudgetFleet, length_s: float) -> None:
         ends_unix_s = fleet.clock.now_s() + length_s
         while fleet.clock.now_s() < ends_unix_s:
-            await anyio.sleep(self._chance.expovariate(REQUESTS_PER_S / SHARDS))
+            await anyio.sleep(self._chance.expovariate(REQUESTS_PER_S / SHARD_COUNT))
             self._sent += 1
             fleet.tasks.start_soon(self._serve, fleet, *self._choose())
 
--- a/packages/stand_ins/src/endivesaddle/stand_ins/demo_clients.py
+++ b/packages/stand_ins/src/endivesaddle/stand_ins/demo_clients.py
@@ -10,7 +10,7 @@
 import httpx
 import msgspec
 
-from endivesaddle.fleet.configuration import SHARDS
+from endivesaddle.fleet.configuration import SHARD_COUNT
 from endivesaddle.operators.access import token_digest
 from endivesaddle.stand_ins.demo_speech import say
 from endivesaddle.stand_ins.demo_world import MODEL, SERVICE, World
@@ -122,7 +122,9 @@
     async def _holds_all(self) -> bool:
         answer = await self._client.get(f'{self._base_url}/dump', headers=self._headers)
         shards = answer.json().get('budgets', {}).get('shards', {})
-        return len(shards) == SHARDS and all(shard.get('recovered') for shard in shards.values())
+        return len(shards) == SHARD_COUNT and all(
+            shard.get('recovered') for shard in shards.values()
+        )
 
 
 class CallerClient:
--- a/packages/stand_ins/src/endivesaddle/stand_ins/memory_fleet.py
+++ b/packages/stand_ins/src/endivesaddle/stand_ins/memory_fleet.py
@@ -17,7 +17,7 @@
 from endivesaddle.daemon.settings import InstanceSettings, ServerSettings
 from endivesaddle.daemon.sidecar import Sidecar, SidecarSettings
 from endivesaddle.fleet.clock import LoopClock
-from endivesaddle.fleet.configuration import SHARDS
+from endivesaddle.fleet.configuration import SHARD_COUNT
 from endivesaddle.fleet.errors import StoreUnreachable
 from endivesaddle.fleet.identity import Identity
 from endivesaddle.fleet.interfaces import BackendServerClient
@@ -127,7 +127,7 @@
         self.net = MemoryNet(self.clock)
         self.running: dict[str, Running] = {}
         self.requests = RequestSettings()
-        self.shards: Collection[int] = range(SHARDS)
+        self.shards: Collection[int] = range(SHARD_COUNT)
         self.cut_off: set[str] = set()
         self.listed: dict[str, str] = {}
         """The platform's list of instances: live or leaving by name."""
--- a/tools/bench_forward.py
+++ b/tools/bench_forward.py
@@ -23,7 +23,7 @@
 from endivesaddle.daemon.forwarder import Forwarder
 from endivesaddle.daemon.forwarder_settings import ForwarderSettings, PlaceSettings
 from endivesaddle.daemon.settings import LogSettings
-from endivesaddle.fleet.clock import SteadyClock
+from endivesaddle.fleet.clock import MonotonicClock
 from endivesaddle.fleet.ports import Stored
 from endivesaddle.fleet.routes.declared import (
     Declarations,
@@ -100,7 +100,7 @@
 
 async def run_router() -> None:
     """Run a router that knows everything from its start on."""
-    clock = SteadyClock()
+    clock = MonotonicClock()
     store = MemoryStore(clock)
     store.put(Documents.declared_prefix, msgspec.json.encode(declared()))
     for number in range(LIVES):
--- a/tools/processes_fleet.py
+++ b/tools/processes_fleet.py
@@ -14,7 +14,7 @@
 
 sys.path.insert(0, str(pathlib.Path(__file__).parent.parent / 'features'))
 
-from endivesaddle.fleet.configuration import SHARDS  # noqa: E402
+from endivesaddle.fleet.configuration import SHARD_COUNT  # noqa: E402
 from endivesaddle.operators.access import token_digest  # noqa: E402
 from subjects.processes_launch import Launcher, Place, Running, open_launcher  # noqa: E402
 
@@ -92,7 +92,7 @@
             if [row['state'] for row in rows].count('live') < len(ENGINES) + len(SERVICES):
                 return False
         self.unrecovered = held.count(False)
-        return len(held) >= SHARDS * len(DATA_CENTRES)
+        return len(held) >= SHARD_COUNT * len(DATA_CENTRES)
 
     async def _start_others(self) -> None:
         limit = anyio.CapacityLimiter(START_TOGETHER)
@@ -168,6 +168,6 @@
         passed_s = time.perf_counter() - began_s
         print(
             f'{len(fleet.daemons)} processes serve after {passed_s:.0f} s;'
-            f' {fleet.unrecovered} of {SHARDS * len(DATA_CENTRES)} shards not recovered'
+            f' {fleet.unrecovered} of {SHARD_COUNT * len(DATA_CENTRES)} shards not recovered'
         )
         yield fleet
