--- a/packages/callers/src/endivesaddle/callers/app.py
+++ b/packages/callers/src/endivesaddle/callers/app.py
@@ -17,7 +17,7 @@
 from endivesaddle.callers.settings import CallersSettings
 from endivesaddle.fleet.clock import Clock
 from endivesaddle.fleet.errors import UserError
-from endivesaddle.fleet.interfaces import Front
+from endivesaddle.fleet.interfaces import RequestHandler
 from endivesaddle.fleet.ports import FleetView
 from endivesaddle.fleet.sentinels import RUN_UNKNOWN, Refusal
 
@@ -37,7 +37,7 @@
     def __init__(
         self,
         settings: CallersSettings,
-        front: Front,
+        front: RequestHandler,
         view: FleetView,
         clock: Clock,
         operators: OperatorPort,
--- a/packages/callers/src/endivesaddle/callers/context.py
+++ b/packages/callers/src/endivesaddle/callers/context.py
@@ -8,7 +8,7 @@
 from endivesaddle.callers.metrics import Metrics
 from endivesaddle.callers.ports import OperatorPort, StatePort
 from endivesaddle.callers.settings import CallersSettings
-from endivesaddle.fleet.interfaces import Front
+from endivesaddle.fleet.interfaces import RequestHandler
 from endivesaddle.fleet.ports import FleetView
 from endivesaddle.fleet.registry import Registry
 
@@ -17,7 +17,7 @@
     """The settings and the other parts of the router."""
 
     settings: CallersSettings
-    front: Front
+    front: RequestHandler
     view: FleetView
     operators: OperatorPort
     state: StatePort
--- a/packages/daemon/src/endivesaddle/daemon/router.py
+++ b/packages/daemon/src/endivesaddle/daemon/router.py
@@ -83,7 +83,7 @@
             matcher,
             self.recorder.add,
         )
-        self.budgets.keeper = self.claims
+        self.budgets.claim_recovery = self.claims
         self.front = RequestFront(
             settings.requests, identity, self.budgets, self.routing, peers, self.view, clock
         )
--- a/packages/fleet/src/endivesaddle/fleet/budgets/holder.py
+++ b/packages/fleet/src/endivesaddle/fleet/budgets/holder.py
@@ -24,7 +24,7 @@
 from endivesaddle.fleet.clock import Clock
 from endivesaddle.fleet.configuration import shard_of
 from endivesaddle.fleet.identity import Identity
-from endivesaddle.fleet.interfaces import ClaimKeeper, Reserved
+from endivesaddle.fleet.interfaces import ClaimRecovery, Reserved
 from endivesaddle.fleet.ports import FleetView, Handlers, Peers, Store
 from endivesaddle.fleet.sentinels import NotHolder, Refusal
 from endivesaddle.wire import holders_pb2, rpcs
@@ -55,13 +55,13 @@
         self._admission = Admission(settings, self._transfers, clock)
 
     @property
-    def keeper(self) -> ClaimKeeper | None:
+    def claim_recovery(self) -> ClaimRecovery | None:
         """The claims, which are told what ran under passed epochs."""
-        return self._recovery.keeper
+        return self._recovery.claim_recovery
 
-    @keeper.setter
-    def keeper(self, keeper: ClaimKeeper | None) -> None:
-        self._recovery.keeper = keeper
+    @claim_recovery.setter
+    def claim_recovery(self, claim_recovery: ClaimRecovery | None) -> None:
+        self._recovery.claim_recovery = claim_recovery
 
     def handlers(self, handlers: Handlers) -> None:
         """Answer the calls of other holders."""
--- a/packages/fleet/src/endivesaddle/fleet/budgets/recovery.py
+++ b/packages/fleet/src/endivesaddle/fleet/budgets/recovery.py
@@ -14,7 +14,7 @@
 from endivesaddle.fleet.clock import Clock
 from endivesaddle.fleet.errors import PeerNoReply, PeerRefused, PeerUnreachable, StoreUnreachable
 from endivesaddle.fleet.identity import Identity
-from endivesaddle.fleet.interfaces import ClaimKeeper
+from endivesaddle.fleet.interfaces import ClaimRecovery
 from endivesaddle.fleet.ports import FleetView, Peers, Store
 from endivesaddle.wire import holders_pb2, members_pb2, rpcs
 
@@ -76,7 +76,7 @@
         self._peers = peers
         self._view = view
         self._clock = clock
-        self.keeper: ClaimKeeper | None = None
+        self.claim_recovery: ClaimRecovery | None = None
 
     async def run(self, held: HeldShard) -> None:
         """Seal again and again until all is known, or the shard is held no more."""
@@ -107,14 +107,14 @@
         for epoch, finding in held.findings.items():
             self._learn(held, epoch, finding, answers)
         complete = all(known.complete for known in held.findings.values())
-        if self.keeper is not None and not held.recovered:
+        if self.claim_recovery is not None and not held.recovered:
             known = [
                 record
                 for reply in [*answers.routers, *answers.sidecars]
                 for record in reply.seal.records
                 if record.state not in findings.OWN_STATES
             ]
-            self.keeper.adopt(held.shard, known, complete)
+            self.claim_recovery.adopt(held.shard, known, complete)
         held.recovered = held.recovered or complete
 
     def _learn(
--- a/packages/fleet/src/endivesaddle/fleet/interfaces.py
+++ b/packages/fleet/src/endivesaddle/fleet/interfaces.py
@@ -69,7 +69,7 @@
         self.refusal = refusal
 
 
-class Front(Protocol):
+class RequestHandler(Protocol):
     """What callers' requests are handed to in a router."""
 
     async def serve(self, request: CallerRequest) -> Answer | Refusal:
@@ -125,7 +125,7 @@
         """Return when the store last confirmed that this instance holds the shard."""
 
 
-class ClaimKeeper(Protocol):
+class ClaimRecovery(Protocol):
     """What budgets tell the claims after a takeover."""
 
     def adopt(self, shard: int, records: Sequence[holders_pb2.Record], complete: bool) -> None:
