--- a/packages/operators/src/endivesaddle/operators/configuration_store.py
+++ b/packages/operators/src/endivesaddle/operators/configuration_store.py
@@ -101,7 +101,7 @@
     async def swap_head(
         self, head: revisions.Head, version: int, deadline_unix_s: float
     ) -> Stored | Conflict:
-        """Put a head in the place of the one at ``version``; raises ``StoreWriteUnconfirmed`` too."""
+        """Replace the head at ``version``; may also raise ``StoreWriteUnconfirmed``."""
         write = Write(revisions.HEAD_KEY, revisions.encode_head(head), version)
         stored = await self._writer.write(write, deadline_unix_s)
         if isinstance(stored, Stored) and head['revision'] % self._tidy_every == 0:
