--- a/features/subjects/cold_bursts.py
+++ b/features/subjects/cold_bursts.py
@@ -6,7 +6,7 @@
 from endivesaddle.fleet.routes.declared import Declarations, RouteServer, Service
 from endivesaddle.fleet.routes.routing_state import RoutingState
 from endivesaddle.fleet.routing.backends import Backend
-from endivesaddle.fleet.routing.cold_starts import ColdStarts
+from endivesaddle.fleet.routing.cold_starts import ColdStartLimits
 from subjects.random_routers import RandomRouters, busiest
 
 SEED = 11
@@ -42,7 +42,7 @@
         end_unix_s = START_UNIX_S + COLD_S
         for arrival in self._drawn.arrivals(per_s, START_UNIX_S, end_unix_s):
             cold, backend = self._routers[arrival.router]
-            if cold.enter(backend, arrival.here_unix_s):
+            if cold.try_acquire(backend, arrival.here_unix_s):
                 self._sent_unix_s.append(arrival.now_unix_s)
 
     @property
@@ -58,10 +58,10 @@
 
 def _router(
     policy: str, routing_state: RoutingState, name: str, heard: tuple[str, ...]
-) -> tuple[ColdStarts, Backend]:
-    cold = ColdStarts(policy, routing_state, name)
+) -> tuple[ColdStartLimits, Backend]:
+    cold = ColdStartLimits(policy, routing_state, name)
     cold.routers = heard
-    cold.settled = True
+    cold.routers_known = True
     return cold, Backend(SERVER)
 
 
@@ -75,11 +75,11 @@
         routing_state.declare(Declarations(1, (), (service,), ()), b'', 'x')
         routing_state.server(SERVER._replace(cold_until_unix_s=0), 'test')
         self.backend = Backend(SERVER)
-        self.cold = ColdStarts('few_routers', routing_state, 'router-0')
+        self.cold = ColdStartLimits('few_routers', routing_state, 'router-0')
         self.now_unix_s = START_UNIX_S + 2 * COLD_S
 
     def play(self, per_s: int, seconds: int) -> None:
         """Send requests."""
         for _ in range(per_s * seconds):
             self.now_unix_s += 1 / per_s
-            assert self.cold.enter(self.backend, self.now_unix_s)
+            assert self.cold.try_acquire(self.backend, self.now_unix_s)
--- a/features/subjects/forward_runs.py
+++ b/features/subjects/forward_runs.py
@@ -29,8 +29,8 @@
 from endivesaddle.fleet.routes.routing_state import RoutingState
 from endivesaddle.fleet.routes.running import Runner
 from endivesaddle.fleet.routing.backends import Backend
-from endivesaddle.fleet.routing.choosing import NoDesks
 from endivesaddle.fleet.routing.dispatcher import Dispatcher
+from endivesaddle.fleet.routing.engine_selection import NoDesks
 from endivesaddle.fleet.routing.forward_settings import ForwardSettings
 from endivesaddle.fleet.sentinels import Refusal
 from endivesaddle.stand_ins.memory_peers import MemoryNet
--- a/features/subjects/limited_fleet.py
+++ b/features/subjects/limited_fleet.py
@@ -65,7 +65,7 @@
 
     def withheld(self) -> int:
         """Return how often a router passed a limited server over."""
-        return sum(one.dispatcher.send_limits.limits.withheld_count for one in self._routers)
+        return sum(one.dispatcher.send_limits.limits.throttled_count for one in self._routers)
 
     async def _begin_late(self, server: int) -> None:
         saying = self.servers[server]
--- a/features/subjects/limited_server.py
+++ b/features/subjects/limited_server.py
@@ -41,8 +41,8 @@
                 named_unix_s = arrival.now_unix_s
                 self._name(named_unix_s)
             share, backend = self._shares[arrival.router], self._backends[arrival.router]
-            if share.takes(backend, arrival.here_unix_s):
-                share.count(backend, arrival.here_unix_s)
+            if share.allows(backend, arrival.here_unix_s):
+                share.record_send(backend, arrival.here_unix_s)
                 self._sent_unix_s.append(arrival.now_unix_s)
 
     @property
@@ -62,7 +62,7 @@
 
 def _share(share: LimitShares, routers: tuple[str, ...]) -> LimitShares:
     share.routers = routers
-    share.settled = True
+    share.routers_known = True
     return share
 
 
--- a/features/subjects/placing_desks.py
+++ b/features/subjects/placing_desks.py
@@ -1,6 +1,6 @@
 """Subject: many routers before many engines, which hear of each other once a second.
 
-Each prompt is placed by ``choose``, with the sidecars beside the engines or without them.
+Each prompt is placed by ``select_engine``, with the sidecars beside the engines or without them.
 Words to the sidecars arrive at once; they are milliseconds, prompts tens of milliseconds.
 """
 
@@ -8,8 +8,8 @@
 
 from endivesaddle.fleet.routes.declared import RouteServer
 from endivesaddle.fleet.routing.backends import Backend, ForwardRoutingRequest
-from endivesaddle.fleet.routing.choosing import Desks, NoDesks, choose
 from endivesaddle.fleet.routing.engine_desk import EngineDesk, Load, Word
+from endivesaddle.fleet.routing.engine_selection import Desks, NoDesks, select_engine
 from endivesaddle.fleet.routing.placement_policies import PlacementContext, placement_policies
 from subjects.links_loop import ScenarioLoop
 
@@ -87,7 +87,7 @@
             routing_request, self._routers[router], 'a', True, self.now_unix_s, self.count
         )
         policy = placement_policies.find('earliest_first_event')
-        backend = await choose(context, policy, self._ways[router])
+        backend = await select_engine(context, policy, self._ways[router])
         backend.start_request(routing_request, self.now_unix_s)
         name = backend.server.lifetime
         start_unix_s = max(self.now_unix_s, self._free_unix_s[name])
--- a/packages/fleet/src/endivesaddle/fleet/routes/neighbours.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/neighbours.py
@@ -137,7 +137,7 @@
     def _count_routers(self) -> None:
         directory, dispatcher = self._parts.directory, self._parts.dispatcher
         dispatcher.router_count = len(directory.others) + 1
-        dispatcher.send_limits.know_routers(
+        dispatcher.send_limits.set_routers(
             self._address, directory.others.values(), directory.settled
         )
 
--- a/packages/fleet/src/endivesaddle/fleet/routing/candidates.py
+++ b/packages/fleet/src/endivesaddle/fleet/routing/candidates.py
@@ -6,7 +6,7 @@
 from endivesaddle.fleet.routes.forwarded import ForwardRequest
 from endivesaddle.fleet.routes.routing_state import RoutingState
 from endivesaddle.fleet.routing.backends import Backend, Backends
-from endivesaddle.fleet.routing.sending_bounds import SendingBounds
+from endivesaddle.fleet.routing.send_limits import SendLimits
 
 EVACUATED_S = 2.0
 """Where all data centres are evacuated, callers come back after this: an operator takes one back
@@ -27,13 +27,13 @@
         self,
         routing_state: RoutingState,
         backends: Backends,
-        bounds: SendingBounds,
+        limits: SendLimits,
         regions: tuple[str, ...],
     ) -> None:
         """Choose among the servers that ``routing_state`` holds."""
         self._routing_state = routing_state
         self._backends = backends
-        self._bounds = bounds
+        self._send_limits = limits
         self._regions = dict(entry.split('=', 1) for entry in regions)
 
     def open(
@@ -49,7 +49,7 @@
         backends = [
             backend for backend in backends if backend.unreachable_until_unix_s <= now_unix_s
         ] or backends
-        return [backend for backend in backends if self._bounds.takes(backend, now_unix_s)]
+        return [backend for backend in backends if self._send_limits.allows(backend, now_unix_s)]
 
     def why_none(self, request: ForwardRequest, service: str, now_unix_s: float) -> NoServer:
         """Return why no server is open, and when the first of them may be sent requests again.
@@ -83,4 +83,6 @@
 
     def _free_unix_s(self, backend: Backend, now_unix_s: float) -> float:
         """Return when a server may be sent a request of this router, as far as is known."""
-        return max(backend.rejecting_until_unix_s, self._bounds.free_unix_s(backend, now_unix_s))
+        return max(
+            backend.rejecting_until_unix_s, self._send_limits.next_send_unix_s(backend, now_unix_s)
+        )
--- a/packages/fleet/src/endivesaddle/fleet/routing/cold_starts.py
+++ b/packages/fleet/src/endivesaddle/fleet/routing/cold_starts.py
@@ -19,64 +19,64 @@
 and others may have been let in since."""
 
 
-class ColdSetting(NamedTuple):
+class ColdStartContext(NamedTuple):
     """What a policy decides on: a cold server, its bound, and the routers that may send to it.
 
-    ``settled`` tells whether this router has had time to hear of the others.
+    ``routers_known`` tells whether this router has had time to hear of the others.
     """
 
     server: str
     per_s: float
     own: str
     routers: Collection[str]
-    settled: bool
+    routers_known: bool
     now_unix_s: float
 
 
-ColdPolicy = Callable[[ColdSetting], int]
+ColdPolicy = Callable[[ColdStartContext], int]
 """Returns the requests that this router may send the server within any second."""
 
 cold_policies: Registry[ColdPolicy] = Registry('cold start policy')
 
 
 @cold_policies.add('few_routers')
-def few_routers(setting: ColdSetting) -> int:
+def few_routers(context: ColdStartContext) -> int:
     """Let as many routers as the server bears requests send one each, the same for all routers.
 
     With fewer routers than that, each has the same part.  A router that has just started and does
     not know the others sends nothing, as all may start at once.
     """
-    most = int(setting.per_s)
-    if not setting.settled:
+    most = int(context.per_s)
+    if not context.routers_known:
         return 0
-    if len(setting.routers) <= most:
-        return most // max(1, len(setting.routers))
-    chosen = sorted(setting.routers, key=lambda router: weight(setting.server, router))
-    return int(setting.own in chosen[:most])
+    if len(context.routers) <= most:
+        return most // max(1, len(context.routers))
+    chosen = sorted(context.routers, key=lambda router: weight(context.server, router))
+    return int(context.own in chosen[:most])
 
 
 @cold_policies.add('time_slots')
-def time_slots(setting: ColdSetting) -> int:
+def time_slots(context: ColdStartContext) -> int:
     """Let routers take turns by the clock: one request in a slot of ``1 / per_s`` seconds.
 
     It needs clocks that agree to a slot's length, and a request that arrives in the slot.
     """
-    order = sorted(setting.routers)
-    if not setting.settled or setting.own not in order:
+    order = sorted(context.routers)
+    if not context.routers_known or context.own not in order:
         return 0
-    slot = int(setting.now_unix_s * setting.per_s)
-    return int(order[slot % len(order)] == setting.own)
+    slot = int(context.now_unix_s * context.per_s)
+    return int(order[slot % len(order)] == context.own)
 
 
-class ColdStarts:
+class ColdStartLimits:
     """What this router may send to cold servers; ``routers`` are all addresses, its ``own`` too."""
 
     def __init__(self, policy: str, routing_state: RoutingState, own: str) -> None:
         """Decide by a registered policy for the router ``own``."""
         self.own = own
         self.routers: Collection[str] = (own,)
-        self.settled = False
-        self.withheld_count = 0
+        self.routers_known = False
+        self.throttled_count = 0
         self._policy = cold_policies.find(policy)
         self._routing_state = routing_state
 
@@ -91,26 +91,26 @@
         )
         return until_unix_s if until_unix_s > now_unix_s else 0.0
 
-    def takes(self, backend: Backend, now_unix_s: float) -> bool:
+    def allows(self, backend: Backend, now_unix_s: float) -> bool:
         """Tell whether a server may be sent a request of this router now."""
         if not self.cold_until_unix_s(backend, now_unix_s):
             return True
         return backend.sent_in_last_second(now_unix_s) < self._allowed(backend, now_unix_s)
 
-    def enter(self, backend: Backend, now_unix_s: float) -> bool:
+    def try_acquire(self, backend: Backend, now_unix_s: float) -> bool:
         """Count a request for a server, or tell False where a cold one bears no more."""
-        if not self.takes(backend, now_unix_s):
+        if not self.allows(backend, now_unix_s):
             return False
         backend.record_send(now_unix_s)
         return True
 
-    def sends(self, backend: Backend, entered_unix_s: float, now_unix_s: float) -> bool:
+    def may_still_send(self, backend: Backend, entered_unix_s: float, now_unix_s: float) -> bool:
         """Tell right before it is sent whether a request that was let in may still go."""
         if now_unix_s - entered_unix_s <= ENTERED_S:
             return True
-        return self.enter(backend, now_unix_s)
+        return self.try_acquire(backend, now_unix_s)
 
-    def free_unix_s(self, backend: Backend, now_unix_s: float) -> float:
+    def next_send_unix_s(self, backend: Backend, now_unix_s: float) -> float:
         """Return when a cold server may be sent the next request of this router."""
         until_unix_s = self.cold_until_unix_s(backend, now_unix_s)
         if self._allowed(backend, now_unix_s):
@@ -122,7 +122,7 @@
         per_s = service.cold_per_s if service else 0.0
         name = backend.server.lifetime
         return self._policy(
-            ColdSetting(name, per_s, self.own, self.routers, self.settled, now_unix_s)
+            ColdStartContext(name, per_s, self.own, self.routers, self.routers_known, now_unix_s)
         )
 
     def _service(self, backend: Backend) -> Service | None:
--- a/packages/fleet/src/endivesaddle/fleet/routing/dispatcher.py
+++ b/packages/fleet/src/endivesaddle/fleet/routing/dispatcher.py
@@ -10,9 +10,9 @@
 from endivesaddle.fleet.routes.routing_state import RoutingState
 from endivesaddle.fleet.routing.backends import Backend, Backends, ForwardRoutingRequest, is_engine
 from endivesaddle.fleet.routing.candidates import Candidates
-from endivesaddle.fleet.routing.choosing import ASKED_TOKENS, Desks, NoDesks, choose
-from endivesaddle.fleet.routing.cold_starts import ColdStarts
+from endivesaddle.fleet.routing.cold_starts import ColdStartLimits
 from endivesaddle.fleet.routing.crash_records import CrashRecords
+from endivesaddle.fleet.routing.engine_selection import ASKED_TOKENS, Desks, NoDesks, select_engine
 from endivesaddle.fleet.routing.forward_settings import ForwardSettings
 from endivesaddle.fleet.routing.limit_shares import LimitShares
 from endivesaddle.fleet.routing.placement_policies import (
@@ -21,7 +21,7 @@
     placement_policies,
 )
 from endivesaddle.fleet.routing.retry_share import RetryShare
-from endivesaddle.fleet.routing.sending_bounds import SendingBounds
+from endivesaddle.fleet.routing.send_limits import SendLimits
 from endivesaddle.fleet.routing.sent_parts import SentParts
 from endivesaddle.fleet.routing.server_signals import SignalHeader, apply_signals
 from endivesaddle.fleet.sentinels import NOT_RUN, Refusal
@@ -55,7 +55,7 @@
         """Tell right before the request is sent whether it may still go there."""
         now_unix_s = self._dispatcher.now_s()
         takes = self._dispatcher.accepts_requests(self.backend)
-        return takes and self._dispatcher.send_limits.sends(
+        return takes and self._dispatcher.send_limits.may_still_send(
             self.backend, self._entered_unix_s, now_unix_s
         )
 
@@ -117,8 +117,8 @@
         self.backends = Backends()
         self.sent_parts = SentParts()
         self.crashes = CrashRecords(settings)
-        self.send_limits = SendingBounds(
-            ColdStarts(settings.cold_policy, routing_state, name),
+        self.send_limits = SendLimits(
+            ColdStartLimits(settings.cold_policy, routing_state, name),
             LimitShares(settings.limit_policy, routing_state.limits, name),
         )
         self.large_prompt_listeners: list[Callable[[], None]] = []
@@ -238,10 +238,10 @@
         while backends:
             left = context._replace(backends=backends)
             if context.engine and len(backends) > 1:
-                backend = await choose(left, policy, self.desks)
+                backend = await select_engine(left, policy, self.desks)
             else:
                 backend = policy(left)
-            if self.send_limits.enter(backend, self.now_s()):
+            if self.send_limits.try_acquire(backend, self.now_s()):
                 return backend
             backends.remove(backend)
         return None
--- a/packages/fleet/src/endivesaddle/fleet/routing/choosing.py
+++ b/packages/fleet/src/endivesaddle/fleet/routing/engine_selection.py
@@ -42,7 +42,9 @@
         """Tell nobody."""
 
 
-async def choose(context: PlacementContext, policy: PlacementPolicy, desks: Desks) -> Backend:
+async def select_engine(
+    context: PlacementContext, policy: PlacementPolicy, desks: Desks
+) -> Backend:
     """Return the lane for a prompt.
 
     What a sidecar says changes its lane, so that the policy decides anew with the truth about
--- a/packages/fleet/src/endivesaddle/fleet/routing/limit_shares.py
+++ b/packages/fleet/src/endivesaddle/fleet/routing/limit_shares.py
@@ -18,7 +18,7 @@
 """A limit is shared out over so long: within a second many would be less than one request."""
 
 
-class LimitSetting(NamedTuple):
+class LimitContext(NamedTuple):
     """What a policy decides on: a server's limit, and how many routers share it.
 
     ``rank`` is this router's place among them, 0 for the first; all agree on their order for a
@@ -30,67 +30,67 @@
     rank: int
 
 
-LimitPolicy = Callable[[LimitSetting], float]
+LimitPolicy = Callable[[LimitContext], float]
 """Returns the seconds between two requests of this router, infinite for none at all."""
 
 limit_policies: Registry[LimitPolicy] = Registry('limit policy')
 
 
 @limit_policies.add('few_routers')
-def few_routers(setting: LimitSetting) -> float:
+def few_routers(context: LimitContext) -> float:
     """Share out whole requests: where routers are more, the first of the order send one each."""
-    window_s = max(WINDOW_S, 1 / setting.per_s)
-    most = max(1, int(setting.per_s * window_s))
-    each, more = divmod(most, setting.routers)
-    share = each + int(setting.rank < more)
+    window_s = max(WINDOW_S, 1 / context.per_s)
+    most = max(1, int(context.per_s * window_s))
+    each, more = divmod(most, context.routers)
+    share = each + int(context.rank < more)
     return window_s / share if share else math.inf
 
 
 @limit_policies.add('equal_parts')
-def equal_parts(setting: LimitSetting) -> float:
+def equal_parts(context: LimitContext) -> float:
     """Let each router send its part of the limit, however seldom that is."""
-    return setting.routers / setting.per_s
+    return context.routers / context.per_s
 
 
 class LimitShares:
     """What this router may send to servers that named a limit.
 
-    ``routers`` are all addresses, its ``own`` too; ``settled`` tells whether it has had time to
-    hear of the others.
+    ``routers`` are the addresses of all routers, with its ``own``; ``routers_known`` tells whether
+    it has had time to learn of the others.
     """
 
-    def __init__(self, policy: str, named: AdvertisedLimits, own: str) -> None:
+    def __init__(self, policy: str, advertised: AdvertisedLimits, own: str) -> None:
         """Decide by a registered policy for the router ``own``."""
         self.own = own
         self.routers: Collection[str] = (own,)
-        self.settled = False
-        self.withheld_count = 0
+        self.routers_known = False
+        self.throttled_count = 0
         self._policy = limit_policies.find(policy)
-        self._named = named
+        self._advertised = advertised
         self._sent_unix_s: dict[str, float] = {}
         self._ranks: dict[str, int] = {}
         self._ranked: tuple[str, Collection[str]] = ('', ())
 
-    def takes(self, backend: Backend, now_unix_s: float) -> bool:
+    def allows(self, backend: Backend, now_unix_s: float) -> bool:
         """Tell whether a server may be sent a request of this router now."""
-        return self.free_unix_s(backend, now_unix_s) <= now_unix_s
+        return self.next_send_unix_s(backend, now_unix_s) <= now_unix_s
 
-    def count(self, backend: Backend, now_unix_s: float) -> None:
+    def record_send(self, backend: Backend, now_unix_s: float) -> None:
         """Count a request that goes there now."""
         life = backend.server.incarnation
-        if self._named and self._named.per_s(life, now_unix_s):
+        if self._advertised and self._advertised.per_s(life, now_unix_s):
             self._sent_unix_s[life] = now_unix_s
             if len(self._sent_unix_s) > MOST_LIVES:
                 del self._sent_unix_s[next(iter(self._sent_unix_s))]
 
-    def free_unix_s(self, backend: Backend, now_unix_s: float) -> float:
+    def next_send_unix_s(self, backend: Backend, now_unix_s: float) -> float:
         """Return when a server may be sent the next request of this router, 0 for at any time.
 
         A router without a share names the time after which the server takes the next request of
         any router: callers that come back then may meet one that has a share.
         """
         life = backend.server.incarnation
-        per_s = self._named.per_s(life, now_unix_s) if self._named else 0.0
+        per_s = self._advertised.per_s(life, now_unix_s) if self._advertised else 0.0
         if not per_s:
             return 0.0
         pause_s = self._pause_s(life, per_s)
@@ -99,10 +99,10 @@
         return self._sent_unix_s.get(life, 0.0) + pause_s
 
     def _pause_s(self, life: str, per_s: float) -> float:
-        if not self.settled:
+        if not self.routers_known:
             # The others are unknown: as many as there are may have started with this one.
             return max(WINDOW_S, 1 / per_s)
-        return self._policy(LimitSetting(per_s, len(self.routers), self._rank(life)))
+        return self._policy(LimitContext(per_s, len(self.routers), self._rank(life)))
 
     def _rank(self, life: str) -> int:
         """Return this router's place in the order of all for a server, kept while they stay."""
