--- a/features/subjects/evacuated_fleet.py
+++ b/features/subjects/evacuated_fleet.py
@@ -6,8 +6,8 @@
 import anyio
 import msgspec
 
-from endivesaddle.backend_servers.forward_calls import ForwardLinks
-from endivesaddle.backend_servers.kept_links import KeptLinks
+from endivesaddle.backend_servers.connection_pool import ConnectionPool
+from endivesaddle.backend_servers.forward_client import ForwardClient
 from endivesaddle.backend_servers.server_connection import ServerConnection
 from endivesaddle.fleet.clock import LoopClock
 from endivesaddle.fleet.interfaces import ServerRefused
@@ -125,7 +125,7 @@
         name = f'router-{number}-{self._life}'
         router = CutRouter(name, f'10.0.0.{number}:1', self._net, self._store, self._decoder)
         router.start(ACCOUNT)
-        links = ForwardLinks(KeptLinks(self._connect), HeaderNames(), self._clock)
+        links = ForwardClient(ConnectionPool(self._connect), HeaderNames(), self._clock)
         self._routers.append(router)
         self._runners.append(Runner(router.dispatcher, router.pools, links, self._clock))
 
--- a/features/subjects/httpx_links.py
+++ b/features/subjects/httpx_links.py
@@ -6,7 +6,7 @@
 import anyio
 import httpx
 
-from endivesaddle.backend_servers.kept_links import Forwarded
+from endivesaddle.backend_servers.connection_pool import OutgoingRequest
 from endivesaddle.fleet.interfaces import NeverSent, ServerLost
 
 
@@ -36,7 +36,7 @@
 
     @asynccontextmanager
     async def exchange(
-        self, lifetime: str, address: str, request: Forwarded
+        self, lifetime: str, address: str, request: OutgoingRequest
     ) -> AsyncIterator[HttpxResponse]:
         """Send a request and give its answer."""
         sent = httpx.Request(
--- a/features/subjects/server_connections.py
+++ b/features/subjects/server_connections.py
@@ -8,8 +8,8 @@
 
 import anyio
 
-from endivesaddle.backend_servers.forward_calls import ForwardLinks
-from endivesaddle.backend_servers.kept_links import KeptLinks
+from endivesaddle.backend_servers.connection_pool import ConnectionPool
+from endivesaddle.backend_servers.forward_client import ForwardClient
 from endivesaddle.fleet.clock import MonotonicClock
 from endivesaddle.fleet.interfaces import NeverSent, ServerLost, ServerRefused
 from endivesaddle.fleet.routes.declared import Repeat, Route, RouteAccount, RouteServer, Target
@@ -182,7 +182,7 @@
         anyio.run(self._play, self._given_up, SMALL)
 
     async def _look(self) -> None:
-        links = ForwardLinks(KeptLinks(), HeaderNames(), MonotonicClock())
+        links = ForwardClient(ConnectionPool(), HeaderNames(), MonotonicClock())
         server = await asyncio.start_server(self._serve, '127.0.0.1', 0)
         host, port = server.sockets[0].getsockname()
         address = f'{host}:{port}'
@@ -190,7 +190,7 @@
         self.looks.append(await _seen(links, call.server))
         for number, _ in enumerate(self._scripts):
             self.outcomes.append(await self._sent(links, _call(number, address, SMALL)))
-        self.opened_count = links.links.opened_count
+        self.opened_count = links.pool.opened_count
         server.close()
         await server.wait_closed()
         self.looks.append(await _seen(links, call.server))
@@ -203,16 +203,16 @@
             server.close()
 
     async def _each(self, address: str, body: bytes) -> None:
-        links = ForwardLinks(KeptLinks(), HeaderNames(), MonotonicClock())
+        links = ForwardClient(ConnectionPool(), HeaderNames(), MonotonicClock())
         for number, _ in enumerate(self._scripts):
             self.outcomes.append(await self._sent(links, _call(number, address, body)))
             while len(self.bodies) < len(self.heads):
                 await anyio.sleep(0)
             await _turns()
-        self.opened_count = links.links.opened_count
+        self.opened_count = links.pool.opened_count
 
     async def _given_up(self, address: str, body: bytes) -> None:
-        links = ForwardLinks(KeptLinks(), HeaderNames(), MonotonicClock())
+        links = ForwardClient(ConnectionPool(), HeaderNames(), MonotonicClock())
         async with anyio.create_task_group() as group:
             group.start_soon(self._sent, links, _call(0, address, body))
             while not self.bodies:
@@ -220,7 +220,7 @@
             group.cancel_scope.cancel()
         await self._left.wait()
 
-    async def _sent(self, links: ForwardLinks, call: ServerCall) -> str:
+    async def _sent(self, links: ForwardClient, call: ServerCall) -> str:
         try:
             async with links.exchange(call) as answer:
                 if not answer.own:
@@ -249,7 +249,7 @@
             writer.close()
 
 
-async def _seen(links: ForwardLinks, server: RouteServer) -> str:
+async def _seen(links: ForwardClient, server: RouteServer) -> str:
     """Look at a server as a router does after a run that broke."""
     try:
         await links.check(server)
--- a/features/subjects/slow_connections.py
+++ b/features/subjects/slow_connections.py
@@ -4,8 +4,8 @@
 
 import anyio
 
-from endivesaddle.backend_servers.forward_calls import ForwardLinks
-from endivesaddle.backend_servers.kept_links import KeptLinks
+from endivesaddle.backend_servers.connection_pool import ConnectionPool
+from endivesaddle.backend_servers.forward_client import ForwardClient
 from endivesaddle.backend_servers.server_connection import ServerConnection
 from endivesaddle.fleet.clock import LoopClock
 from endivesaddle.fleet.routes.header_names import HeaderNames
@@ -65,7 +65,7 @@
         self.network = SlowNetwork(connect_s)
         self.runs = ForwardRuns('unsafe', 1, [])
         clock = LoopClock()
-        links = ForwardLinks(KeptLinks(self.network.connect), HeaderNames(), clock)
+        links = ForwardClient(ConnectionPool(self.network.connect), HeaderNames(), clock)
         dispatcher = self.runs.runner.parts.dispatcher
         self.runs.runner = Runner(dispatcher, self.runs.pools, links, clock)
         self.left = ''
--- a/packages/backend_servers/src/endivesaddle/backend_servers/kept_links.py
+++ b/packages/backend_servers/src/endivesaddle/backend_servers/connection_pool.py
@@ -10,8 +10,8 @@
 from typing import NamedTuple
 
 from endivesaddle.backend_servers.server_connection import (
+    RawResponse,
     ServerConnection,
-    ServerResponse,
     connect,
 )
 from endivesaddle.fleet.interfaces import NeverSent, ServerLeft
@@ -21,12 +21,12 @@
 
 IDLE_S = 3.0
 """An idle connection is used again for so long where its server does not say how long it stays."""
-CLOSING_S = 0.5
+CLOSE_MARGIN_S = 0.5
 """Of the time that a server says, the last is not used: a request must not meet its closing."""
 BODILESS = 'HEAD'
 
 
-class Forwarded(NamedTuple):
+class OutgoingRequest(NamedTuple):
     """A request as it is sent: target and headers are bytes as they came.
 
     ``may_send`` is asked right before: does the server still take requests?
@@ -49,7 +49,7 @@
         return b'%s\r\n\r\n%s' % (head, self.body)
 
 
-class KeptLinks:
+class ConnectionPool:
     """Idle connections by server; one life of a server shares nothing with the next."""
 
     def __init__(self, connect_to: Connect = connect, idle_s: float = IDLE_S) -> None:
@@ -64,15 +64,15 @@
 
     @asynccontextmanager
     async def exchange(
-        self, lifetime: str, address: str, request: Forwarded
-    ) -> AsyncIterator[ServerResponse]:
+        self, lifetime: str, address: str, request: OutgoingRequest
+    ) -> AsyncIterator[RawResponse]:
         """Send a request and give its answer; the connection is kept if both ended well.
 
         Raises ``NeverSent`` where the server did not get it, ``ServerLost``
         where it may have run.
         """
         encoded = request.encoded()
-        connection = await self._taken(lifetime, address)
+        connection = await self._acquire(lifetime, address)
         try:
             # Looked at again when the connection is there, which may take a second.
             # Failure: the server was chosen in time, left or asked for nothing meanwhile, and
@@ -83,11 +83,11 @@
             await response.head()
             yield response
         finally:
-            self._returned(lifetime, connection)
+            self._release(lifetime, connection)
 
     async def check(self, lifetime: str, address: str) -> None:
         """Connect, and keep the connection; raises ``NeverSent``, also as ``ServerRefused``."""
-        self._returned(lifetime, await self._connected(address))
+        self._release(lifetime, await self._open(address))
 
     def drop(self, lifetime: str) -> None:
         """Close the idle connections to a server that is gone."""
@@ -98,7 +98,7 @@
         """Return the servers with idle connections."""
         return set(self._idle)
 
-    async def _taken(self, lifetime: str, address: str) -> ServerConnection:
+    async def _acquire(self, lifetime: str, address: str) -> ServerConnection:
         idle = self._idle.get(lifetime, [])
         now_s = asyncio.get_running_loop().time()
         while idle:
@@ -106,15 +106,15 @@
             if connection.idle_until_s > now_s and connection.idle():
                 return connection
             connection.abort()
-        return await self._connected(address)
+        return await self._open(address)
 
-    async def _connected(self, address: str) -> ServerConnection:
+    async def _open(self, address: str) -> ServerConnection:
         self.opened_count += 1
         return await self._connect(address)
 
-    def _returned(self, lifetime: str, connection: ServerConnection) -> None:
+    def _release(self, lifetime: str, connection: ServerConnection) -> None:
         if connection.idle():
-            stays_s = connection.kept_s - CLOSING_S if connection.kept_s else self._idle_s
+            stays_s = connection.kept_s - CLOSE_MARGIN_S if connection.kept_s else self._idle_s
             connection.idle_until_s = asyncio.get_running_loop().time() + stays_s
             self._idle.setdefault(lifetime, []).append(connection)
         else:
--- a/packages/backend_servers/src/endivesaddle/backend_servers/forward_calls.py
+++ b/packages/backend_servers/src/endivesaddle/backend_servers/forward_client.py
@@ -3,8 +3,8 @@
 from collections.abc import AsyncIterator, Mapping
 from contextlib import asynccontextmanager
 
-from endivesaddle.backend_servers.kept_links import Forwarded, KeptLinks
-from endivesaddle.backend_servers.server_connection import ServerResponse
+from endivesaddle.backend_servers.connection_pool import ConnectionPool, OutgoingRequest
+from endivesaddle.backend_servers.server_connection import RawResponse
 from endivesaddle.backend_servers.sse import EventSplitter, EventTooLong
 from endivesaddle.backend_servers.unread_headers import UnreadHeaders
 from endivesaddle.fleet.clock import Clock
@@ -22,12 +22,10 @@
 _MS = 1000
 
 
-class KeptAnswer:
+class ForwardedResponse:
     """A server's answer, with the header names of one platform."""
 
-    def __init__(
-        self, response: ServerResponse, call: ServerCall, header_names: HeaderNames
-    ) -> None:
+    def __init__(self, response: RawResponse, call: ServerCall, header_names: HeaderNames) -> None:
         """Take a response whose body is unread."""
         pairs = [
             (name.decode('latin-1').lower(), value.decode('latin-1'))
@@ -66,18 +64,18 @@
         return b''.join([chunk async for chunk in self._response.chunks()])
 
 
-class ForwardLinks:
+class ForwardClient:
     """Sends calls over kept connections."""
 
-    def __init__(self, links: KeptLinks, header_names: HeaderNames, clock: Clock) -> None:
+    def __init__(self, pool: ConnectionPool, header_names: HeaderNames, clock: Clock) -> None:
         """Use ``header_names`` for the names of headers."""
-        self.links = links
+        self.pool = pool
         self.unread = UnreadHeaders(header_names)
         self._header_names = header_names
         self._clock = clock
 
     @asynccontextmanager
-    async def exchange(self, call: ServerCall) -> AsyncIterator[KeptAnswer]:
+    async def exchange(self, call: ServerCall) -> AsyncIterator[ForwardedResponse]:
         """Send a request and give its answer.
 
         Raises ``NeverSent`` where the server did not get it, ``ServerLost``
@@ -85,11 +83,11 @@
         """
         request = call.request
         headers = self._headers(call)
-        sent = Forwarded(request.method, request.target, headers, request.body, call.may_send)
+        sent = OutgoingRequest(request.method, request.target, headers, request.body, call.may_send)
         server = call.server
-        async with self.links.exchange(server.lifetime, server.address, sent) as response:
-            answer = KeptAnswer(response, call, self._header_names)
-            self.unread.look(server.lifetime, answer.headers)
+        async with self.pool.exchange(server.lifetime, server.address, sent) as response:
+            answer = ForwardedResponse(response, call, self._header_names)
+            self.unread.check(server.lifetime, answer.headers)
             yield answer
 
     async def check(self, server: RouteServer) -> None:
@@ -97,7 +95,7 @@
 
         Raises ``ServerRefused`` where nobody listens, ``NeverSent`` where that can't be told.
         """
-        await self.links.check(server.lifetime, server.address)
+        await self.pool.check(server.lifetime, server.address)
 
     def _headers(self, call: ServerCall) -> list[tuple[bytes, bytes]]:
         names = self._header_names
--- a/packages/backend_servers/src/endivesaddle/backend_servers/server_connection.py
+++ b/packages/backend_servers/src/endivesaddle/backend_servers/server_connection.py
@@ -44,7 +44,7 @@
         """Wait for the transport."""
         self.idle_until_s = 0.0
         self._transport: asyncio.Transport | None = None
-        self._answer: ServerResponse | None = None
+        self._answer: RawResponse | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Take the transport, and bound how long it may be silent."""
@@ -74,11 +74,11 @@
         if self._answer is not None:
             self._answer.fail(f'{type(exc).__name__} {exc}' if exc else 'the connection closed')
 
-    def send(self, request: bytes, bodiless: bool) -> 'ServerResponse':
+    def send(self, request: bytes, bodiless: bool) -> 'RawResponse':
         """Send the bytes of a request; its answer is read by what is returned."""
         if self._transport is None:
             raise NeverSent('the connection closed')
-        self._answer = ServerResponse(self._transport, AnswerParser(bodiless))
+        self._answer = RawResponse(self._transport, AnswerParser(bodiless))
         self._transport.write(request)
         return self._answer
 
@@ -106,7 +106,7 @@
             self._transport.abort()
 
 
-class ServerResponse:
+class RawResponse:
     """The answer to one request: its head, and its body as it arrives."""
 
     def __init__(self, transport: asyncio.Transport, parser: AnswerParser) -> None:
--- a/packages/backend_servers/src/endivesaddle/backend_servers/unread_headers.py
+++ b/packages/backend_servers/src/endivesaddle/backend_servers/unread_headers.py
@@ -30,13 +30,13 @@
             LENGTH,
         }
 
-    def look(self, server: str, pairs: Pairs) -> None:
+    def check(self, server: str, pairs: Pairs) -> None:
         """Look at the head of an answer of ``server``; names are in lower case."""
         for name, value in pairs:
             if name not in self._understood:
-                self._meet(server, name, value)
+                self._record(server, name, value)
 
-    def _meet(self, server: str, name: str, value: str) -> None:
+    def _record(self, server: str, name: str, value: str) -> None:
         if name in self.names or len(self.names) >= MOST_NAMES:
             return
         self.names.add(name)
--- a/packages/daemon/src/endivesaddle/daemon/forwarder.py
+++ b/packages/daemon/src/endivesaddle/daemon/forwarder.py
@@ -9,8 +9,8 @@
 
 import anyio
 
-from endivesaddle.backend_servers.forward_calls import ForwardLinks
-from endivesaddle.backend_servers.kept_links import KeptLinks
+from endivesaddle.backend_servers.connection_pool import ConnectionPool
+from endivesaddle.backend_servers.forward_client import ForwardClient
 from endivesaddle.callers.forward_app import ForwardApp, ForwardParts, ReadyApp, Stopping
 from endivesaddle.callers.forward_metrics import ForwardMetrics
 from endivesaddle.daemon import events
@@ -53,7 +53,7 @@
         place = settings.place
         peers = TimedPeers(GrpcPeers(settings.links, clock), clock)
         self.parts = decisions(settings, ports, peers, clock)
-        self.links = ForwardLinks(KeptLinks(), ports.header_names, clock)
+        self.links = ForwardClient(ConnectionPool(), ports.header_names, clock)
         self.neighbours = Neighbours(
             NeighbourParts(*self.parts[1:5], ports.decoder, place.seeds),
             peers,
@@ -127,7 +127,7 @@
             'unread_names': sorted(self._ports.decoder.unread.names),
             'counters': {
                 'forward_open': self._app.open_count,
-                'connections_opened': self.links.links.opened_count,
+                'connections_opened': self.links.pool.opened_count,
                 'declared_version': routing_state.declarations.version
                 if routing_state.declarations
                 else 0,
@@ -217,7 +217,7 @@
 
     async def _tend(self) -> None:
         """Forget servers that are gone, and pass on who may reach the store."""
-        links = self.links.links
+        links = self.links.pool
         while True:
             await anyio.sleep(TEND_S)
             self.parts.store.relays = self.parts.directory.relays
