--- a/packages/backend_servers/src/endivesaddle/backend_servers/settings.py
+++ b/packages/backend_servers/src/endivesaddle/backend_servers/settings.py
@@ -2,7 +2,7 @@
 
 import dataclasses
 
-from endivesaddle.fleet.settings import number, option, whole
+from endivesaddle.fleet.settings import integer, number, option
 
 
 @dataclasses.dataclass(frozen=True)
@@ -31,11 +31,11 @@
         'backend-event-bytes',
         'longest event of a streamed answer',
         1 << 20,
-        whole(1024, 1 << 30),
+        integer(1024, 1 << 30),
     )
     body_bytes: int = option(
         'backend-body-bytes',
         'longest answer that is not streamed',
         8 << 20,
-        whole(1024, 1 << 30),
+        integer(1024, 1 << 30),
     )
--- a/packages/callers/src/endivesaddle/callers/settings.py
+++ b/packages/callers/src/endivesaddle/callers/settings.py
@@ -18,13 +18,13 @@
         'max-body-bytes',
         'largest request body, in bytes',
         BODY_BYTES,
-        settings.whole(1024, 64 * BODY_BYTES),
+        settings.integer(1024, 64 * BODY_BYTES),
     )
     max_command_bytes: int = settings.option(
         'max-command-bytes',
         "largest operators' command with its declarations, in bytes",
         COMMAND_BYTES,
-        settings.whole(1024, 8 * COMMAND_BYTES),
+        settings.integer(1024, 8 * COMMAND_BYTES),
     )
     body_within_s: float = settings.option(
         'body-within-s',
@@ -36,16 +36,16 @@
         'max-in-flight',
         'requests that one router has open at the most',
         4096,
-        settings.whole(1, MANY),
+        settings.integer(1, MANY),
     )
     default_output_tokens: int = settings.option(
         'default-output-tokens',
         'max_tokens of a request that names none (the same on all routers)',
         1024,
-        settings.whole(1, MANY),
+        settings.integer(1, MANY),
     )
     max_choices: int = settings.option(
-        'max-choices', 'largest "n" or "best_of" of a request', 8, settings.whole(1, 128)
+        'max-choices', 'largest "n" or "best_of" of a request', 8, settings.integer(1, 128)
     )
     default_timeout_s: float = settings.option(
         'default-timeout-s',
@@ -69,7 +69,7 @@
         'max-held-answer-bytes',
         'bytes of an unstreamed answer that are held back until it is whole',
         ANSWER_BYTES,
-        settings.whole(1024, 64 * ANSWER_BYTES),
+        settings.integer(1024, 64 * ANSWER_BYTES),
     )
     keep_alive_s: float = settings.option(
         'http-keep-alive-s',
@@ -81,11 +81,11 @@
         'requests-a-connection',
         'requests after which a connection is closed, so that load spreads anew',
         10_000,
-        settings.whole(1, MANY),
+        settings.integer(1, MANY),
     )
     probe_after_s: int = settings.option(
         'probe-after-s',
         'seconds of silence after which a connection is probed',
         15,
-        settings.whole(1, 600),
+        settings.integer(1, 600),
     )
--- a/packages/fleet/src/endivesaddle/fleet/budgets/settings.py
+++ b/packages/fleet/src/endivesaddle/fleet/budgets/settings.py
@@ -2,7 +2,7 @@
 
 import dataclasses
 
-from endivesaddle.fleet.settings import number, option, whole
+from endivesaddle.fleet.settings import integer, number, option
 
 
 @dataclasses.dataclass(frozen=True)
@@ -36,7 +36,7 @@
         'budget-least-ahead-tokens',
         'tokens a ceiling is raised ahead at least',
         20_000,
-        whole(0, 10**9),
+        integer(0, 10**9),
     )
     idle_s: float = option(
         'budget-idle-s',
--- a/packages/fleet/src/endivesaddle/fleet/membership/settings.py
+++ b/packages/fleet/src/endivesaddle/fleet/membership/settings.py
@@ -18,7 +18,7 @@
     """
 
     seeds: tuple[str, ...] = _option(
-        'seeds', 'ip:port of some routers, by commas', (), settings.names
+        'seeds', 'ip:port of some routers, by commas', (), settings.name_list
     )
     beat_s: float = _option('beat-s', 'seconds between heartbeats', 1.0, _seconds)
     beat_call_s: float = _option(
@@ -36,7 +36,7 @@
         'instance-list-s', 'seconds between reads of the list', 2.0, _seconds
     )
     fan_out: int = _option(
-        'fan-out', 'routers below one router in the tree', 3, settings.whole(1, 64)
+        'fan-out', 'routers below one router in the tree', 3, settings.integer(1, 64)
     )
     pulse_bytes_per_s: float = _option(
         'pulse-bytes-per-s', 'bytes of pulses on one link', 200.0, settings.number(1, 1e9)
@@ -45,7 +45,7 @@
         'loads-detailed',
         'load reports of a data centre that others hear one by one, not as their mean',
         24,
-        settings.whole(0, 10000),
+        settings.integer(0, 10000),
     )
     load_bytes_per_s: float = _option(
         'load-bytes-per-s', 'bytes of loads on one link', 300.0, settings.number(1, 1e9)
--- a/packages/fleet/src/endivesaddle/fleet/requests/settings.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/settings.py
@@ -2,7 +2,7 @@
 
 import dataclasses
 
-from endivesaddle.fleet.settings import number, option, whole
+from endivesaddle.fleet.settings import integer, number, option
 
 _MEGABYTE = 1 << 20
 _DAY_S = 86_400
@@ -52,13 +52,13 @@
         'request-max-records',
         'maximum number of requests remembered by one holder',
         20000,
-        whole(1, 1000000),
+        integer(1, 1000000),
     )
     refused_records: int = option(
         'request-refused-records',
         'maximum number of refused requests remembered by one holder',
         4096,
-        whole(1, 1000000),
+        integer(1, 1000000),
     )
     takeover_s: float = option(
         'request-takeover-s',
@@ -91,13 +91,13 @@
         number(0.05, 600),
     )
     max_attempts: int = option(
-        'request-max-attempts', 'maximum number of attempts of one request', 6, whole(1, 100)
+        'request-max-attempts', 'maximum number of attempts of one request', 6, integer(1, 100)
     )
     buffer_bytes: int = option(
         'request-buffer-bytes',
         'size up to which an answer is held back until it is complete',
         _MEGABYTE // 4,
-        whole(0, 1 << 30),
+        integer(0, 1 << 30),
     )
     cancel_after_s: float = option(
         'request-cancel-after-s',
@@ -130,17 +130,17 @@
         'request-record-slots',
         'number of record batches kept in the store for each shard',
         90,
-        whole(1, 100000),
+        integer(1, 100000),
     )
     record_bytes: int = option(
         'request-record-bytes',
         'maximum size of a batch of records',
         _MEGABYTE // 4,
-        whole(1024, _MEGABYTE),
+        integer(1024, _MEGABYTE),
     )
     record_queue: int = option(
         'request-record-queue',
         'maximum number of ended records that wait for the store',
         10000,
-        whole(1, 1000000),
+        integer(1, 1000000),
     )
--- a/packages/fleet/src/endivesaddle/fleet/routing/forward_settings.py
+++ b/packages/fleet/src/endivesaddle/fleet/routing/forward_settings.py
@@ -37,7 +37,7 @@
         'regions',
         'the region of each data centre, as data-centre=region; others are in no known region',
         (),
-        settings.pairs,
+        settings.name_value_pairs,
     )
     retry_ratio: float = settings.option(
         'retry-ratio',
@@ -55,7 +55,7 @@
         'crash-ends',
         'servers that may end under one request before it is held back',
         3,
-        settings.whole(1, 1000),
+        settings.integer(1, 1000),
     )
     crash_held_s: float = settings.option(
         'crash-held-s',
--- a/packages/fleet/src/endivesaddle/fleet/routing/settings.py
+++ b/packages/fleet/src/endivesaddle/fleet/routing/settings.py
@@ -31,7 +31,7 @@
         'routing-prefixes',
         'cached prompt prefixes that a router remembers, over all servers',
         20000,
-        settings.whole(0, 10_000_000),
+        settings.integer(0, 10_000_000),
     )
     routing_aside_s: float = settings.option(
         'routing-aside-s',
@@ -49,5 +49,5 @@
         'routing-queued',
         'requests that may wait in a router for one model or service',
         512,
-        settings.whole(0, 100_000),
+        settings.integer(0, 100_000),
     )
--- a/packages/fleet/src/endivesaddle/fleet/runs/settings.py
+++ b/packages/fleet/src/endivesaddle/fleet/runs/settings.py
@@ -2,7 +2,7 @@
 
 import dataclasses
 
-from endivesaddle.fleet.settings import number, option, whole
+from endivesaddle.fleet.settings import integer, number, option
 
 _MEGABYTE = 1 << 20
 
@@ -12,28 +12,28 @@
     """Bounds of runs, kept answers and deadlines; see docs/SIDECAR.md."""
 
     max_running: int = option(
-        'max-running', 'runs at once; more are refused as not run', 64, whole(1, 4096)
+        'max-running', 'runs at once; more are refused as not run', 64, integer(1, 4096)
     )
     max_remembered: int = option(
         'max-remembered',
         'runs and cancelled keys remembered at once',
         20_000,
-        whole(1, 1_000_000),
+        integer(1, 1_000_000),
     )
     answer_bytes: int = option(
-        'answer-bytes', 'longest answer that is kept', 2 * _MEGABYTE, whole(1024, 1 << 30)
+        'answer-bytes', 'longest answer that is kept', 2 * _MEGABYTE, integer(1024, 1 << 30)
     )
     answers_bytes: int = option(
-        'answers-bytes', 'all kept answers together', 16 * _MEGABYTE, whole(1024, 1 << 34)
+        'answers-bytes', 'all kept answers together', 16 * _MEGABYTE, integer(1024, 1 << 34)
     )
     token_bytes: int = option(
         'token-bytes',
         'room set aside for each token of an answer (kept compressed)',
         80,
-        whole(1, 65_536),
+        integer(1, 65_536),
     )
     chunk_bytes: int = option(
-        'chunk-bytes', 'most data of one chunk towards a router', 16_384, whole(256, 1 << 20)
+        'chunk-bytes', 'most data of one chunk towards a router', 16_384, integer(256, 1 << 20)
     )
     keep_alive_s: float = option(
         'follow-keep-alive-s', 'a chunk is sent at least this often', 1.0, number(0.01, 60)
@@ -81,7 +81,7 @@
         'order-lease-s',
         'lease on orders to an engine that ignores fencing numbers',
         10,
-        whole(2, 600),
+        integer(2, 600),
     )
     order_read_back_s: float = option(
         'order-read-back-s',
--- a/packages/fleet/src/endivesaddle/fleet/settings.py
+++ b/packages/fleet/src/endivesaddle/fleet/settings.py
@@ -79,7 +79,7 @@
     return parse
 
 
-def whole(low: int, high: int) -> Callable[[str], int]:
+def integer(low: int, high: int) -> Callable[[str], int]:
     """Return a parser of whole numbers within bounds, both included."""
 
     def parse(text: str) -> int:
@@ -106,14 +106,14 @@
     return parse
 
 
-def names(text: str) -> tuple[str, ...]:
+def name_list(text: str) -> tuple[str, ...]:
     """Parse names or addresses separated by commas."""
     return tuple(part.strip() for part in text.split(',') if part.strip())
 
 
-def pairs(text: str) -> tuple[str, ...]:
+def name_value_pairs(text: str) -> tuple[str, ...]:
     """Parse entries "name=value" separated by commas."""
-    entries = names(text)
+    entries = name_list(text)
     for entry in entries:
         name, _, value = entry.partition('=')
         if not name or not value:
--- a/packages/instances/src/endivesaddle/instances/settings.py
+++ b/packages/instances/src/endivesaddle/instances/settings.py
@@ -64,13 +64,13 @@
         'link-streams',
         'calls that one link carries at once',
         10000,
-        settings.whole(100, 1000000),
+        settings.integer(100, 1000000),
     )
     link_message_bytes: int = settings.option(
         'link-message-bytes',
         'size that a message between instances may have',
         32 * MIB_BYTES,
-        settings.whole(1024, 1024 * MIB_BYTES),
+        settings.integer(1024, 1024 * MIB_BYTES),
     )
     link_stop_s: float = settings.option(
         'link-stop-s',
--- a/packages/operators/src/endivesaddle/operators/arguments.py
+++ b/packages/operators/src/endivesaddle/operators/arguments.py
@@ -75,7 +75,7 @@
     return read
 
 
-def whole(low: int, high: int) -> Callable[[str], int]:
+def integer(low: int, high: int) -> Callable[[str], int]:
     """Return a reader of whole numbers within bounds; 1_000 and 1000 are the same."""
 
     def read(text: str) -> int:
--- a/packages/operators/src/endivesaddle/operators/commands/apply.py
+++ b/packages/operators/src/endivesaddle/operators/commands/apply.py
@@ -27,7 +27,7 @@
     'apply azulejo.toml base:41',
     arguments=(
         arguments.field(
-            'base', 'the revision that "plan" told', arguments.whole(0, _MOST_REVISION)
+            'base', 'the revision that "plan" told', arguments.integer(0, _MOST_REVISION)
         ),
         FILE,
     ),
--- a/packages/operators/src/endivesaddle/operators/commands/top_up.py
+++ b/packages/operators/src/endivesaddle/operators/commands/top_up.py
@@ -21,7 +21,7 @@
     'top-up atelier 500000 id:inv-311',
     arguments=(
         arguments.word('account', 'the client account', arguments.named),
-        arguments.word('tokens', 'how many tokens', arguments.whole(1, _MOST_TOKENS)),
+        arguments.word('tokens', 'how many tokens', arguments.integer(1, _MOST_TOKENS)),
         arguments.field(
             'id', 'names the top-up; else the change id does', arguments.change_id, default=''
         ),
--- a/packages/operators/src/endivesaddle/operators/commands/write_off.py
+++ b/packages/operators/src/endivesaddle/operators/commands/write_off.py
@@ -22,9 +22,9 @@
     'write-off atelier 1200 data_centre:porto-a epoch:3',
     arguments=(
         arguments.word('account', 'the client account', arguments.named),
-        arguments.word('tokens', 'how many of them were spent', arguments.whole(0, _MOST)),
+        arguments.word('tokens', 'how many of them were spent', arguments.integer(0, _MOST)),
         arguments.field('data_centre', 'data centre of the lost holder', arguments.named),
-        arguments.field('epoch', 'its epoch, as event 1007 tells', arguments.whole(1, _MOST)),
+        arguments.field('epoch', 'its epoch, as event 1007 tells', arguments.integer(1, _MOST)),
     ),
     changes=True,
 )
--- a/packages/operators/src/endivesaddle/operators/declarations/keys.py
+++ b/packages/operators/src/endivesaddle/operators/declarations/keys.py
@@ -56,7 +56,7 @@
     return written
 
 
-def whole(low: int, high: int) -> Check:
+def integer(low: int, high: int) -> Check:
     """Return a check of whole numbers within bounds."""
 
     def check(written: Any) -> int:
--- a/packages/operators/src/endivesaddle/operators/declarations/tables.py
+++ b/packages/operators/src/endivesaddle/operators/declarations/tables.py
@@ -25,23 +25,23 @@
         'accounts': NamedTable(
             {
                 'key_digests': keys.optional(keys.list_of(keys.digest)),
-                'budget_tokens': keys.required(keys.whole(0, MOST_TOKENS)),
-                'priority': keys.optional(keys.whole(0, 9)),
-                'max_queued': keys.optional(keys.whole(0, 100_000)),
+                'budget_tokens': keys.required(keys.integer(0, MOST_TOKENS)),
+                'priority': keys.optional(keys.integer(0, 9)),
+                'max_queued': keys.optional(keys.integer(0, 100_000)),
             },
             declared.Account,
         ),
         'models': NamedTable(
             {
-                'max_output_tokens': keys.optional(keys.whole(1, 10_000_000)),
-                'message_overhead_tokens': keys.optional(keys.whole(0, 100_000)),
+                'max_output_tokens': keys.optional(keys.integer(1, 10_000_000)),
+                'message_overhead_tokens': keys.optional(keys.integer(0, 100_000)),
                 'adapter': keys.optional(keys.text),
                 'version': keys.optional(keys.text),
             },
             declared.Model,
         ),
         'services': NamedTable(
-            {'cost_tokens': keys.optional(keys.whole(0, MOST_TOKENS))}, declared.Service
+            {'cost_tokens': keys.optional(keys.integer(0, MOST_TOKENS))}, declared.Service
         ),
         'servers': NamedTable(
             {
@@ -51,7 +51,7 @@
                 'models': keys.optional(keys.list_of(keys.name)),
                 'service': keys.optional(keys.name),
                 'checks_orders': keys.optional(keys.flag),
-                'slots': keys.optional(keys.whole(1, 100_000)),
+                'slots': keys.optional(keys.integer(1, 100_000)),
             },
             declared.BackendServer,
         ),
--- a/packages/operators/src/endivesaddle/operators/settings.py
+++ b/packages/operators/src/endivesaddle/operators/settings.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from endivesaddle.fleet.settings import number, option, whole
+from endivesaddle.fleet.settings import integer, number, option
 
 
 @dataclass(frozen=True)
@@ -31,9 +31,9 @@
         'operator-peer-call-s', 'seconds that another instance may take', 2.0, number(0.05, 60)
     )
     tidy_every: int = option(
-        'tidy-every', 'revisions until old parts leave the store', 16, whole(1, 10_000)
+        'tidy-every', 'revisions until old parts leave the store', 16, integer(1, 10_000)
     )
     audit_days: int = option(
-        'audit-days', 'days until an audit record lapses', 400, whole(1, 36500)
+        'audit-days', 'days until an audit record lapses', 400, integer(1, 36500)
     )
-    most_rows: int = option('most-rows', 'rows of a reply at the most', 200, whole(1, 10000))
+    most_rows: int = option('most-rows', 'rows of a reply at the most', 200, integer(1, 10000))
--- a/packages/platform/src/endivesaddle/platform/settings.py
+++ b/packages/platform/src/endivesaddle/platform/settings.py
@@ -17,7 +17,7 @@
         'store-urls',
         'configuration store, such as etcd+http://10.0.0.1:2379; several by commas',
         (),
-        settings.names,
+        settings.name_list,
     )
     store_ca: str = settings.option(
         'store-ca',
@@ -43,13 +43,13 @@
         settings.number(0.1, 3600),
     )
     store_page_keys: int = settings.option(
-        'store-page-keys', 'keys asked for in one reply of a list', 64, settings.whole(1, 10000)
+        'store-page-keys', 'keys asked for in one reply of a list', 64, settings.integer(1, 10000)
     )
     store_connections: int = settings.option(
         'store-connections',
         'calls to the store that may be open at once, each on a connection of its own',
         16,
-        settings.whole(1, 10000),
+        settings.integer(1, 10000),
     )
     store_reads_per_s: float = settings.option(
         'store-reads-per-s',
@@ -73,7 +73,7 @@
         'store-start-calls',
         'reads, and writes, that an instance may make at once when it starts',
         400,
-        settings.whole(0, 100000),
+        settings.integer(0, 100000),
     )
     store_sidecar_reads_per_s: float = settings.option(
         'store-sidecar-reads-per-s',
@@ -100,11 +100,11 @@
         'weight-slots',
         'loads of weights that the weight store bears at once, fleet-wide',
         4,
-        settings.whole(1, 10000),
+        settings.integer(1, 10000),
     )
     weight_lease_s: int = settings.option(
         'weight-lease-s',
         'seconds after which the slot of a lost loader is free again',
         30,
-        settings.whole(1, 86400),
+        settings.integer(1, 86400),
     )
