--- a/features/subjects/declarations.py
+++ b/features/subjects/declarations.py
@@ -10,7 +10,7 @@
 from endivesaddle.fleet.configuration import Configuration
 from endivesaddle.fleet.errors import UserError
 from endivesaddle.fleet.revision_cache import RevisionCache
-from endivesaddle.fleet.revision_parts import bare
+from endivesaddle.fleet.revision_parts import plain_digest
 from endivesaddle.operators.access import token_digest
 from endivesaddle.operators.declarations import read_declarations
 from endivesaddle.operators.declarations.tables import NAMED, RULE_KEYS
@@ -90,7 +90,7 @@
             made = cache.parts_of(configuration)
             bodies.update({part.digest: part.body for part in made.parts})
             whole = {part.name: part.digest for part in revisions.parts_of(configuration)}
-            made_bare = {name: bare(digest) for name, digest in made.digests.items()}
+            made_bare = {name: plain_digest(digest) for name, digest in made.digests.items()}
             head = revisions.empty_head()
             head.update(revision=configuration.revision, parts=made.digests)
             if made_bare != whole or cache.assemble(head, bodies) != configuration:
--- a/packages/fleet/src/endivesaddle/fleet/revision_cache.py
+++ b/packages/fleet/src/endivesaddle/fleet/revision_cache.py
@@ -19,7 +19,7 @@
     entries: Any
 
 
-class Made(NamedTuple):
+class PreparedParts(NamedTuple):
     """The digests of all parts by name, and those parts that had to be made."""
 
     digests: dict[str, str]
@@ -50,28 +50,28 @@
         entries = {table: self._tables[table].entries for table in self._tables}
         return Configuration(revision=head['revision'], **entries)
 
-    def parts_of(self, configuration: Configuration) -> Made:
+    def parts_of(self, configuration: Configuration) -> PreparedParts:
         """Return the parts of a configuration, those alone with a body that it brings in."""
-        made = Made({}, [])
+        prepared = PreparedParts({}, [])
         for table in revision_parts.TABLES:
             entries = getattr(configuration, table)
             known = self._tables.get(table)
             if known is not None and known.entries is entries:
-                made.digests.update(known.digests)
+                prepared.digests.update(known.digests)
             else:
-                self._make(table, entries, configuration.revision, made)
-        return made
+                self._make(table, entries, configuration.revision, prepared)
+        return prepared
 
-    def _make(self, table: str, entries: Any, revision: int, made: Made) -> None:
+    def _make(self, table: str, entries: Any, revision: int, prepared: PreparedParts) -> None:
         known = self._tables.get(table, _Table({}, None)).digests
         for name, content in revision_parts.contents_of_table(table, entries).items():
             digest = known.get(name, '')
             if digest in self._contents and self._contents[digest] == content:
-                made.digests[name] = digest
+                prepared.digests[name] = digest
                 continue
             part = revision_parts.part_of(name, content)
-            made.digests[name] = revision_parts.named(part.digest, revision)
-            made.parts.append(part._replace(digest=made.digests[name]))
+            prepared.digests[name] = revision_parts.versioned_digest(part.digest, revision)
+            prepared.parts.append(part._replace(digest=prepared.digests[name]))
 
     def _table(self, table: str, digests: Mapping[str, str]) -> _Table:
         known = self._tables.get(table)
--- a/packages/fleet/src/endivesaddle/fleet/revision_parts.py
+++ b/packages/fleet/src/endivesaddle/fleet/revision_parts.py
@@ -48,7 +48,7 @@
 
 
 class Part(NamedTuple):
-    """One immutable part; ``digest`` is what a head names it by, see ``named``."""
+    """One immutable part; ``digest`` is what a head names it by, see ``versioned_digest``."""
 
     name: str
     digest: str
@@ -60,7 +60,7 @@
     return hashlib.sha256(body).hexdigest()[:_DIGEST_DIGITS]
 
 
-def named(digest: str, revision: int) -> str:
+def versioned_digest(digest: str, revision: int) -> str:
     """Return what the head of ``revision`` names a part by that it brings in.
 
     The same content brought in anew by a later revision has another name.  So a part
@@ -70,13 +70,13 @@
     return f'{digest}{_SINCE}{revision}'
 
 
-def since(name_in_head: str) -> int:
+def added_in_revision(name_in_head: str) -> int:
     """Return the revision that brought a part in; 0 where its name doesn't tell."""
     revision = name_in_head.partition(_SINCE)[2]
     return int(revision) if revision.isdecimal() else 0
 
 
-def bare(name_in_head: str) -> str:
+def plain_digest(name_in_head: str) -> str:
     """Return the digest in a part's name."""
     return name_in_head.partition(_SINCE)[0]
 
@@ -116,7 +116,7 @@
         body = bodies[digest]
     except KeyError:
         raise RevisionError(f'part {name} ({digest}) of the configuration is missing') from None
-    if digest_of(body) != bare(digest):
+    if digest_of(body) != plain_digest(digest):
         raise RevisionError(f'part {name} of the configuration is not what {digest} stands for')
     row_type = _ROWS.get(table_of(name))
     try:
@@ -126,7 +126,7 @@
         raise RevisionError(f'part {name} of the configuration is not readable') from error
 
 
-def joined(revision: int, contents: Mapping[str, Any]) -> declared.Configuration:
+def configuration_from(revision: int, contents: Mapping[str, Any]) -> declared.Configuration:
     """Return the configuration of the contents of all parts; unknown tables are left out."""
     by_table: dict[str, list[Any]] = {table: [] for table in TABLES}
     for name, content in contents.items():
--- a/packages/fleet/src/endivesaddle/fleet/revisions.py
+++ b/packages/fleet/src/endivesaddle/fleet/revisions.py
@@ -15,16 +15,16 @@
 from endivesaddle.fleet.revision_parts import (
     Part,
     RevisionError,
+    configuration_from,
     content_of,
     contents_of,
     digest_of,
-    joined,
     part_of,
 )
 
 __all__ = (
-    'Change', 'Head', 'Part', 'RevisionError', 'assemble', 'changeable', 'decode_head', 'digest_of',
-    'empty_head', 'encode_head', 'encode_parts', 'missing', 'parts_of',
+    'Change', 'Head', 'Part', 'RevisionError', 'assemble', 'can_overwrite', 'decode_head',
+    'digest_of', 'empty_head', 'encode_head', 'encode_parts', 'missing', 'parts_of',
 )  # fmt: skip
 
 HEAD_KEY = 'configuration/head'
@@ -87,7 +87,7 @@
         raise RevisionError(f'the head of the configuration is not readable: {error}') from error
 
 
-def changeable(head: Head) -> bool:
+def can_overwrite(head: Head) -> bool:
     """Tell whether this process may write over a head.
 
     A process of an older release would drop fields that it doesn't know.
@@ -119,4 +119,4 @@
     a configuration comes into force whole or not at all.
     """
     contents = {name: content_of(name, digest, bodies) for name, digest in head['parts'].items()}
-    return joined(head['revision'], contents)
+    return configuration_from(head['revision'], contents)
--- a/packages/operators/src/endivesaddle/operators/configuration_store.py
+++ b/packages/operators/src/endivesaddle/operators/configuration_store.py
@@ -11,7 +11,7 @@
 from endivesaddle.fleet.configuration import Configuration
 from endivesaddle.fleet.ports import Store, Stored
 from endivesaddle.fleet.revision_cache import RevisionCache
-from endivesaddle.fleet.revision_parts import bare
+from endivesaddle.fleet.revision_parts import plain_digest
 from endivesaddle.fleet.sentinels import Absent, Conflict
 from endivesaddle.operators import events
 from endivesaddle.operators.outcomes import NotAccepted
@@ -75,7 +75,7 @@
         loaded = await self.load(deadline_unix_s)
         if isinstance(loaded, Absent):
             loaded = Loaded(revisions.empty_head(), 0, Configuration())
-        if not revisions.changeable(loaded.head):
+        if not revisions.can_overwrite(loaded.head):
             return NotAccepted('the configuration is of a newer release than this router')
         stored, in_force = loaded.head['revision'], self._known().revision
         if stored < in_force:
@@ -148,4 +148,4 @@
     """Return, as a head names them, the bodies of those parts that it holds too."""
     bodies = {part.digest: part.body for part in parts}
     names = head['parts'].values()
-    return {name: bodies[bare(name)] for name in names if bare(name) in bodies}
+    return {name: bodies[plain_digest(name)] for name in names if plain_digest(name) in bodies}
--- a/packages/operators/src/endivesaddle/operators/tidying.py
+++ b/packages/operators/src/endivesaddle/operators/tidying.py
@@ -11,7 +11,7 @@
 from endivesaddle.fleet import revisions
 from endivesaddle.fleet.errors import StoreUnreachable
 from endivesaddle.fleet.ports import Store, Stored
-from endivesaddle.fleet.revision_parts import since
+from endivesaddle.fleet.revision_parts import added_in_revision
 from endivesaddle.operators import events
 from endivesaddle.operators.together import together
 from endivesaddle.operators.writes import Write, Writer
@@ -25,7 +25,7 @@
 
     Only parts are taken that were brought in by the head's revision or an older one
     and that it doesn't name: no later head can name them (see
-    ``revision_parts.named``), however late a paused operator's change wakes up.
+    ``revision_parts.versioned_digest``), however late a paused operator's change wakes up.
     An instance that reads the parts of an older head at that moment finds one
     empty, refuses the whole, and takes the newer head that there is.
     """
@@ -51,7 +51,7 @@
             for stored in listed
             if stored.value
             and _name(stored) not in named
-            and since(_name(stored)) <= head['revision']
+            and added_in_revision(_name(stored)) <= head['revision']
         ]
 
     async def _empty(self, parts: list[Stored], deadline_unix_s: float) -> None:
