--- a/packages/daemon/src/endivesaddle/daemon/forwarder_settings.py
+++ b/packages/daemon/src/endivesaddle/daemon/forwarder_settings.py
@@ -28,7 +28,7 @@
         'metrics-listen', 'ip:port for metrics and the state dump', '127.0.0.1:0', options.address
     )
     seeds: tuple[str, ...] = options.option(
-        'seeds', 'ip:port of other routers, where the store does not tell', (), options.names
+        'seeds', 'ip:port of other routers, where the store does not tell', (), options.name_list
     )
     stop_within_s: float = options.option(
         'stop-within-s', 'seconds that a graceful stop may take', 8.0, options.number(1, 86400)
