--- a/features/subjects/held_request.py
+++ b/features/subjects/held_request.py
@@ -32,7 +32,7 @@
     def end(self, digest: str = REQUEST) -> None:
         """Have one more server end under a request."""
         run = EndedRun(self.now_unix_s - RUN_S, self.now_unix_s)
-        self.records.ended(digest, f'life-{next(self._lives)}', run, self.now_unix_s)
+        self.records.record_crash(digest, f'life-{next(self._lives)}', run, self.now_unix_s)
 
     def held_s(self) -> float:
         """Return for how long the request is held back."""
--- a/packages/fleet/src/endivesaddle/fleet/routes/crash_detection.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/crash_detection.py
@@ -117,7 +117,7 @@
         for broken in pending:
             if self._has_ended(broken):
                 life = broken.server.incarnation
-                self._records.ended(broken.digest, life, broken.run, now_unix_s)
+                self._records.record_crash(broken.digest, life, broken.run, now_unix_s)
             else:
                 self._pending.append(broken)
 
--- a/packages/fleet/src/endivesaddle/fleet/routes/news.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/news.py
@@ -77,7 +77,7 @@
                 now_unix_s + word.held_s if word.held_s > 0 else 0.0,
                 word.tries,
             )
-            self._crashes.hear(told, now_unix_s, source)
+            self._crashes.merge(told, now_unix_s, source)
         for left in news.left:
             self._left.add(LeftLife(left.lifetime, left.born_unix_ms), source)
         for limit in news.limits:
--- a/packages/fleet/src/endivesaddle/fleet/routes/stored_crashes.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/stored_crashes.py
@@ -97,4 +97,4 @@
         except msgspec.DecodeError as error:
             events.UNWRITTEN.log(call='decode', digest=stored.key, reason=str(error))
             return
-        self._records.hear(record, self._clock.now_s(), SOURCE)
+        self._records.merge(record, self._clock.now_s(), SOURCE)
--- a/packages/fleet/src/endivesaddle/fleet/routing/crash_records.py
+++ b/packages/fleet/src/endivesaddle/fleet/routing/crash_records.py
@@ -12,19 +12,19 @@
 from endivesaddle.fleet.routing import crash_events as events
 from endivesaddle.fleet.routing.forward_settings import ForwardSettings
 
-KEPT_S = 600.0
+RETENTION_S = 600.0
 """A record is forgotten so long after its last end, or after it was held back."""
-LONGEST_HELD_S = 86400.0
-MOST_RECORDS = 256
+MAX_HELD_S = 86400.0
+MAX_RECORDS = 256
 """Far more than run at one server when it ends; the oldest yield."""
-LEAST_MOMENTS = 2
+MIN_INCIDENTS = 2
 """Servers that end at one moment may have another cause, as when they lose power together."""
-MOST_LIVES = 32
+MAX_INCARNATIONS = 32
 """Lives of servers in one record; beyond these what was answered is left out."""
-MOST_DOUBLINGS = 10
-FORGET_S = 1.0
+MAX_DOUBLINGS = 10
+EXPIRY_INTERVAL_S = 1.0
 """Between looks for records that are old: each passes over all of them."""
-HERE = 'here'
+LOCAL_SOURCE = 'here'
 """The source of what this instance noted itself."""
 
 
@@ -34,7 +34,7 @@
     began_unix_s: float
     broke_unix_s: float
 
-    def joined(self, other: 'EndedRun') -> 'EndedRun':
+    def merged(self, other: 'EndedRun') -> 'EndedRun':
         """Return the time of both, where several runs were under way at one server."""
         began_unix_s = min(self.began_unix_s, other.began_unix_s)
         return EndedRun(began_unix_s, max(self.broke_unix_s, other.broke_unix_s))
@@ -57,17 +57,19 @@
     number: int = 0
 
     @property
-    def lives(self) -> list[str]:
+    def crashed_incarnations(self) -> list[str]:
         """The servers that ended under it since it was last answered."""
         return sorted(self.ended.keys() - self.answered)
 
     @property
-    def moments(self) -> int:
+    def incidents(self) -> int:
         """How many ends came one after the other: each run began after the last one broke.
 
         Servers that lose power together end under all that many callers ask for.
         """
-        runs = sorted((self.ended[life] for life in self.lives), key=_broke)
+        runs = sorted(
+            (self.ended[incarnation] for incarnation in self.crashed_incarnations), key=_broke
+        )
         count = 0
         last_unix_s = 0.0
         for run in runs:
@@ -90,7 +92,7 @@
         self.listeners: list[Callable[[str], None]] = []
         self._settings = settings
         self._records: dict[str, CrashRecord] = {}
-        self._look_unix_s = 0.0
+        self._next_expiry_unix_s = 0.0
 
     def __len__(self) -> int:
         """Count the records; most of the time there are none."""
@@ -105,27 +107,30 @@
         record = self._records.get(digest)
         return max(0.0, record.held_until_unix_s - now_unix_s) if record else 0.0
 
-    def ended(self, digest: str, life: str, run: EndedRun, now_unix_s: float) -> None:
+    def record_crash(self, digest: str, incarnation: str, run: EndedRun, now_unix_s: float) -> None:
         """Note that a life of a server ended while it ran a request."""
-        record = self._join(CrashRecord(digest, {life: run}), now_unix_s, HERE)
+        record = self._merge(CrashRecord(digest, {incarnation: run}), now_unix_s, LOCAL_SOURCE)
         if record is not None:
             events.RAN.log(
-                digest=digest, server=life, ends=len(record.lives), moments=record.moments
+                digest=digest,
+                server=incarnation,
+                ends=len(record.crashed_incarnations),
+                moments=record.incidents,
             )
-            self._tell(digest)
+            self._notify(digest)
 
-    def answered(self, digest: str, now_unix_s: float) -> None:
+    def record_success(self, digest: str, now_unix_s: float) -> None:
         """Note that a request was answered with success: it ends no servers."""
         record = self._records.get(digest)
-        if record is not None and record.lives:
-            events.ANSWERED.log(digest=digest, ends=len(record.lives))
+        if record is not None and record.crashed_incarnations:
+            events.ANSWERED.log(digest=digest, ends=len(record.crashed_incarnations))
             answered = record._replace(answered=frozenset(record.ended))
-            self._join(answered, now_unix_s, HERE)
-            self._tell(digest)
+            self._merge(answered, now_unix_s, LOCAL_SOURCE)
+            self._notify(digest)
 
-    def hear(self, told: CrashRecord, now_unix_s: float, source: str) -> None:
+    def merge(self, received: CrashRecord, now_unix_s: float, source: str) -> None:
         """Take in what another instance or the store tells."""
-        self._join(told, now_unix_s, source)
+        self._merge(received, now_unix_s, source)
 
     def since(self, number: int, most: int) -> list[CrashRecord]:
         """Return the first ``most`` records that changed after a number, the oldest first."""
@@ -137,44 +142,48 @@
         """Return the records by digest, for operators."""
         return {
             digest: {
-                'ended': record.lives,
+                'ended': record.crashed_incarnations,
                 'held_s': round(self.held_s(digest, now_unix_s), 1),
             }
             for digest, record in self._records.items()
         }
 
-    def _join(self, told: CrashRecord, now_unix_s: float, source: str) -> CrashRecord | None:
+    def _merge(self, received: CrashRecord, now_unix_s: float, source: str) -> CrashRecord | None:
         """Add what is told to a record; None where nothing is new."""
-        self._forget(now_unix_s)
-        known = self._records.get(told.digest) or CrashRecord(told.digest)
-        ended = _joined(known.ended, told.ended)
-        answered = known.answered | told.answered
+        self._drop_expired(now_unix_s)
+        known = self._records.get(received.digest) or CrashRecord(received.digest)
+        ended = _merged(known.ended, received.ended)
+        answered = known.answered | received.answered
         if (ended, answered) == (known.ended, known.answered):
             return None
-        if len(ended) > MOST_LIVES:
-            ended = {life: run for life, run in ended.items() if life not in answered}
+        if len(ended) > MAX_INCARNATIONS:
+            ended = {
+                incarnation: run
+                for incarnation, run in ended.items()
+                if incarnation not in answered
+            }
             answered = frozenset()
         self.number += 1
-        record = self._judged(
+        record = self._with_hold(
             CrashRecord(
-                told.digest,
+                received.digest,
                 ended,
                 answered,
-                max(known.held_until_unix_s, told.held_until_unix_s),
-                max(known.tries, told.tries),
+                max(known.held_until_unix_s, received.held_until_unix_s),
+                max(known.tries, received.tries),
                 number=self.number,
             ),
             known,
             now_unix_s,
         )
-        self._records.pop(told.digest, None)
-        self._records[told.digest] = record
-        if len(self._records) > MOST_RECORDS:
-            del self._records[_least(self._records.values()).digest]
+        self._records.pop(received.digest, None)
+        self._records[received.digest] = record
+        if len(self._records) > MAX_RECORDS:
+            del self._records[_least_valuable(self._records.values()).digest]
         self._log_held(known, record, now_unix_s, source)
         return record
 
-    def _judged(self, record: CrashRecord, known: CrashRecord, now_unix_s: float) -> CrashRecord:
+    def _with_hold(self, record: CrashRecord, known: CrashRecord, now_unix_s: float) -> CrashRecord:
         """Hold a request back where too many servers have ended under it.
 
         When its time is over one more try is let through, as servers may have been mended
@@ -182,35 +191,37 @@
         """
         held_until_unix_s = 0.0
         tries = record.tries
-        if self._fatal(record):
+        if self._is_fatal(record):
             # Bounded, as the store may hold what another writer left there.
-            held_until_unix_s = min(record.held_until_unix_s, now_unix_s + LONGEST_HELD_S)
+            held_until_unix_s = min(record.held_until_unix_s, now_unix_s + MAX_HELD_S)
             if held_until_unix_s <= now_unix_s:
-                tries += self._fatal(known)
+                tries += self._is_fatal(known)
                 held_until_unix_s = now_unix_s + self._hold_s(tries)
-        kept_until_unix_s = max(now_unix_s, held_until_unix_s) + KEPT_S
+        kept_until_unix_s = max(now_unix_s, held_until_unix_s) + RETENTION_S
         return record._replace(
             held_until_unix_s=held_until_unix_s, tries=tries, kept_until_unix_s=kept_until_unix_s
         )
 
-    def _fatal(self, record: CrashRecord) -> bool:
+    def _is_fatal(self, record: CrashRecord) -> bool:
         """Tell whether the ends speak against a request: enough, and not all at one moment."""
         most = self._settings.crash_ends
-        return len(record.lives) >= most and record.moments >= min(most, LEAST_MOMENTS)
+        return len(record.crashed_incarnations) >= most and record.incidents >= min(
+            most, MIN_INCIDENTS
+        )
 
     def _hold_s(self, tries: int) -> float:
-        doublings = min(tries, MOST_DOUBLINGS)
-        return min(LONGEST_HELD_S, self._settings.crash_held_s * 2**doublings)
+        doublings = min(tries, MAX_DOUBLINGS)
+        return min(MAX_HELD_S, self._settings.crash_held_s * 2**doublings)
 
-    def _forget(self, now_unix_s: float) -> None:
-        if now_unix_s < self._look_unix_s:
+    def _drop_expired(self, now_unix_s: float) -> None:
+        if now_unix_s < self._next_expiry_unix_s:
             return
-        self._look_unix_s = now_unix_s + FORGET_S
+        self._next_expiry_unix_s = now_unix_s + EXPIRY_INTERVAL_S
         for digest, record in list(self._records.items()):
             if record.kept_until_unix_s < now_unix_s:
                 del self._records[digest]
 
-    def _tell(self, digest: str) -> None:
+    def _notify(self, digest: str) -> None:
         for listener in self.listeners:
             listener(digest)
 
@@ -221,8 +232,8 @@
         if known.held_until_unix_s <= now_unix_s and held_s > 0:
             events.HELD.log(
                 digest=record.digest,
-                servers=record.lives,
-                moments=record.moments,
+                servers=record.crashed_incarnations,
+                moments=record.incidents,
                 tries=record.tries,
                 held_s=round(held_s, 1),
                 source=source,
@@ -233,22 +244,22 @@
     return run.broke_unix_s
 
 
-def _ends(record: CrashRecord) -> int:
-    return len(record.lives)
+def _crash_count(record: CrashRecord) -> int:
+    return len(record.crashed_incarnations)
 
 
-def _joined(known: dict[str, EndedRun], told: dict[str, EndedRun]) -> dict[str, EndedRun]:
-    joined = dict(known)
-    for life, run in told.items():
-        joined[life] = run.joined(joined.get(life, run))
-    return joined
+def _merged(known: dict[str, EndedRun], received: dict[str, EndedRun]) -> dict[str, EndedRun]:
+    merged = dict(known)
+    for incarnation, run in received.items():
+        merged[incarnation] = run.merged(merged.get(incarnation, run))
+    return merged
 
 
-def _least(records: Iterable[CrashRecord]) -> CrashRecord:
+def _least_valuable(records: Iterable[CrashRecord]) -> CrashRecord:
     """Return the record that may be forgotten first: of few ends, and changed long ago.
 
     Records stand in the order of their changes. Mostly the first one has a single end: when many
     servers end at once, thousands of records come in, and no pass over all of them is made.
     """
     first = next(iter(records))
-    return first if _ends(first) <= 1 else min(records, key=_ends)
+    return first if _crash_count(first) <= 1 else min(records, key=_crash_count)
--- a/packages/fleet/src/endivesaddle/fleet/routing/dispatcher.py
+++ b/packages/fleet/src/endivesaddle/fleet/routing/dispatcher.py
@@ -190,7 +190,7 @@
     def record_success(self, request: ForwardRequest) -> None:
         """Note that a request was answered with success."""
         if self.crashes:
-            self.crashes.answered(request.digest(), self.now_s())
+            self.crashes.record_success(request.digest(), self.now_s())
 
     def refuse_overloaded(self, request: ForwardRequest, reason: str) -> Refusal:
         """Refuse what ran nowhere, with a time to come back that spreads the callers."""
