--- a/features/steps/store_relay_steps.py
+++ b/features/steps/store_relay_steps.py
@@ -189,7 +189,7 @@
     """Leave the list out of what one router knows."""
     have, lack = context.cut.directories
     lack.sidecars = ()
-    context.cut.routers[1].contact.lost('cut off')
+    context.cut.routers[1].store_status.failed('cut off')
     context.cut.sleep(1)
     assert set(lack.sidecars) == set(have.sidecars)
     assert have.sidecars
--- a/features/subjects/cut_router.py
+++ b/features/subjects/cut_router.py
@@ -19,7 +19,7 @@
 from endivesaddle.fleet.routes.neighbours import NeighbourParts, Neighbours
 from endivesaddle.fleet.routes.prepaid_pools import PrepaidPools, PrepaidPoolsParts
 from endivesaddle.fleet.routes.remote_store import answer_store
-from endivesaddle.fleet.routes.routing_state import Contact, RoutingState
+from endivesaddle.fleet.routes.routing_state import RoutingState, StoreStatus
 from endivesaddle.fleet.routes.stored_crashes import StoredCrashes
 from endivesaddle.fleet.routing.dispatcher import Dispatcher
 from endivesaddle.fleet.routing.forward_settings import ForwardSettings
@@ -92,7 +92,7 @@
         self.address = address
         self.cut = CutStore(store, clock)
         self.store = FailoverStore(self.cut, net.peers(address), clock)
-        self.contact = Contact(clock)
+        self.store_status = StoreStatus(clock)
         self.routing_state = RoutingState()
         own = Instance(ROUTER, name, address, 'porto-a')
         self.directory = InstanceDirectory(self.store, clock, own)
@@ -111,7 +111,7 @@
         self._neighbours = Neighbours(
             NeighbourParts(
                 self.routing_state,
-                self.contact,
+                self.store_status,
                 self.dispatcher,
                 self.directory,
                 decoder,
@@ -122,7 +122,7 @@
             name,
             address,
         )
-        self._follower = Follower(self.store, decoder, self.routing_state, clock, self.contact)
+        self._follower = Follower(self.store, decoder, self.routing_state, clock, self.store_status)
         self._crashes = StoredCrashes(self.store, self.dispatcher.crashes, clock)
         self._net = net
         self._clock = clock
@@ -131,7 +131,7 @@
     def start(self, account: RouteAccount) -> None:
         """Serve, and run all parts; they use what the roster knows within a second."""
         self.routing_state.declare(Declarations(1, (), (), (account,)), b'', 'test')
-        self.contact.heard()
+        self.store_status.answered()
         handlers = Handlers()
         self._neighbours.register(handlers)
         self.allocator.register(handlers)
--- a/features/subjects/leaving_servers.py
+++ b/features/subjects/leaving_servers.py
@@ -10,7 +10,7 @@
 from endivesaddle.fleet.ports import Stored
 from endivesaddle.fleet.routes.declared import Declarations, RouteAccount, RouteServer
 from endivesaddle.fleet.routes.following import Follower
-from endivesaddle.fleet.routes.routing_state import Contact, RoutingState
+from endivesaddle.fleet.routes.routing_state import RoutingState, StoreStatus
 from endivesaddle.stand_ins.memory_peers import MemoryNet
 from endivesaddle.stand_ins.memory_store import MemoryStore
 from subjects.cut_router import CutRouter
@@ -156,7 +156,9 @@
         until_unix_s = self._clock.now_s() + seconds
         while self._clock.now_s() < until_unix_s:
             found |= {
-                one.address for one in self.routers if one.contact.away or one.store.unavailable
+                one.address
+                for one in self.routers
+                if one.store_status.unavailable or one.store.unavailable
             }
             await anyio.sleep(LOOK_S)
         return found
@@ -186,7 +188,7 @@
         store = MemoryStore(clock)
         entry = msgspec.json.encode(self._server)
         version = store.put(f'{SERVERS}{self._server.lifetime}', entry).version
-        follower = Follower(store, Entries(), self.routing_state, clock, Contact(clock))
+        follower = Follower(store, Entries(), self.routing_state, clock, StoreStatus(clock))
         with anyio.move_on_after(1):
             await follower.run()
         return version
--- a/features/subjects/news_fleet.py
+++ b/features/subjects/news_fleet.py
@@ -12,7 +12,7 @@
 from endivesaddle.fleet.routes.declared import Declarations
 from endivesaddle.fleet.routes.left_servers import LeftLife
 from endivesaddle.fleet.routes.neighbours import NeighbourParts, Neighbours
-from endivesaddle.fleet.routes.routing_state import Contact, RoutingState
+from endivesaddle.fleet.routes.routing_state import RoutingState, StoreStatus
 from endivesaddle.fleet.routing.dispatcher import Dispatcher
 from endivesaddle.fleet.routing.forward_settings import ForwardSettings
 from endivesaddle.stand_ins.memory_peers import MemoryNet
@@ -49,12 +49,12 @@
         name = f'router-{number}'
         self.routing_state = RoutingState()
         self.routing_state.declarations = DeclarationIndex(Declarations(1, (), (), ()))
-        contact = Contact(clock)
-        contact.heard()
+        store_status = StoreStatus(clock)
+        store_status.answered()
         others = {other: address for other, address in addresses.items() if other != name}
         dispatcher = Dispatcher(ForwardSettings(), self.routing_state, clock, name)
         parts = NeighbourParts(
-            self.routing_state, contact, dispatcher, FixedRoster(others), NoDocuments(), ()
+            self.routing_state, store_status, dispatcher, FixedRoster(others), NoDocuments(), ()
         )
         address = addresses[name]
         self.neighbours = Neighbours(parts, net.peers(address), clock, name, address)
--- a/features/subjects/users_platform.py
+++ b/features/subjects/users_platform.py
@@ -18,7 +18,7 @@
 from endivesaddle.fleet.routes.declared import Repeat, RouteServer
 from endivesaddle.fleet.routes.following import Follower
 from endivesaddle.fleet.routes.header_names import HeaderNames
-from endivesaddle.fleet.routes.routing_state import Contact, RoutingState
+from endivesaddle.fleet.routes.routing_state import RoutingState, StoreStatus
 from endivesaddle.stand_ins.etcd_transport import AsgiTransport
 from endivesaddle.stand_ins.memory_store import MemoryStore
 from subjects.httpx_links import HttpxLinks
@@ -106,7 +106,7 @@
         self.memory = MemoryStore(self._clock)
         self.gateway = KvGateway(self.memory, self._clock)
         self.routing_state = RoutingState()
-        self.contact = Contact(self._clock)
+        self.store_status = StoreStatus(self._clock)
         self._loop.run(self._open)
 
     def close(self) -> None:
@@ -176,7 +176,7 @@
 
     async def _follow(self) -> None:
         decoder = module('documents').PlatformDecoder()
-        follower = Follower(self.store, decoder, self.routing_state, self._clock, self.contact)
+        follower = Follower(self.store, decoder, self.routing_state, self._clock, self.store_status)
         self._following = asyncio.ensure_future(follower.run())
         await anyio.sleep(0.1)
 
--- a/packages/daemon/src/endivesaddle/daemon/forward_parts.py
+++ b/packages/daemon/src/endivesaddle/daemon/forward_parts.py
@@ -13,7 +13,7 @@
 from endivesaddle.fleet.routes.header_names import HeaderNames
 from endivesaddle.fleet.routes.instance_directory import ROUTER, Instance, InstanceDirectory
 from endivesaddle.fleet.routes.prepaid_pools import PrepaidPools, PrepaidPoolsParts
-from endivesaddle.fleet.routes.routing_state import Contact, RoutingState
+from endivesaddle.fleet.routes.routing_state import RoutingState, StoreStatus
 from endivesaddle.fleet.routing.dispatcher import Dispatcher
 
 
@@ -30,7 +30,7 @@
 
     store: FailoverStore
     routing_state: RoutingState
-    contact: Contact
+    store_status: StoreStatus
     dispatcher: Dispatcher
     directory: InstanceDirectory
     pools: PrepaidPools
@@ -44,7 +44,7 @@
     place = settings.place
     store = FailoverStore(ports.store, peers, clock)
     routing_state = RoutingState()
-    contact = Contact(clock)
+    store_status = StoreStatus(clock)
     dispatcher = Dispatcher(settings.forward, routing_state, clock, place.lifetime)
     own = Instance(ROUTER, place.lifetime, place.listen, settings.forward.forward_data_centre)
     directory = InstanceDirectory(store, clock, own)
@@ -55,4 +55,4 @@
             place.lifetime, place.listen, routing_state, choice, allocator, peers, clock
         )
     )
-    return Decisions(store, routing_state, contact, dispatcher, directory, pools, allocator)
+    return Decisions(store, routing_state, store_status, dispatcher, directory, pools, allocator)
--- a/packages/daemon/src/endivesaddle/daemon/forwarder.py
+++ b/packages/daemon/src/endivesaddle/daemon/forwarder.py
@@ -73,7 +73,7 @@
         self._stopping = Stopping(self.neighbours.others_stay)
         parts = self.parts
         self._follower = Follower(
-            parts.store, ports.decoder, parts.routing_state, clock, parts.contact
+            parts.store, ports.decoder, parts.routing_state, clock, parts.store_status
         )
         self._crashes = StoredCrashes(parts.store, parts.dispatcher.crashes, clock)
         self._metrics = ForwardMetrics(self.state)
@@ -132,7 +132,7 @@
                 if routing_state.declarations
                 else 0,
                 'servers_known': len(routing_state.servers),
-                'store_age_seconds': parts.contact.age_s,
+                'store_age_seconds': parts.store_status.age_s,
                 'store_away_here': int(parts.store.unavailable),
                 'servers_heard_age_seconds': parts.dispatcher.server_list_age_s(),
                 'late_seconds': self._loop_lag.worst_s(),
--- a/packages/fleet/src/endivesaddle/fleet/routes/declarations.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/declarations.py
@@ -15,7 +15,7 @@
 from endivesaddle.fleet.routes import events
 from endivesaddle.fleet.routes.following import Decoder
 from endivesaddle.fleet.routes.parts import PartsReader, in_parts
-from endivesaddle.fleet.routes.routing_state import Contact, RoutingState
+from endivesaddle.fleet.routes.routing_state import RoutingState, StoreStatus
 from endivesaddle.wire import routers_pb2, rpcs
 
 FIRST_S = 0.4
@@ -28,10 +28,12 @@
 class DeclarationsFetch:
     """This router's way to declarations that others have and the store does not tell here."""
 
-    def __init__(self, routing_state: RoutingState, contact: Contact, decoder: Decoder) -> None:
+    def __init__(
+        self, routing_state: RoutingState, store_status: StoreStatus, decoder: Decoder
+    ) -> None:
         """Keep ``routing_state`` up to date."""
         self._routing_state = routing_state
-        self._contact = contact
+        self._store_status = store_status
         self._decoder = decoder
         self._busy = anyio.Lock()
 
@@ -47,7 +49,7 @@
         if self._busy.locked() or version <= self._version:
             return
         async with self._busy:
-            if not self._contact.away and self._routing_state.declarations is not None:
+            if not self._store_status.unavailable and self._routing_state.declarations is not None:
                 await anyio.sleep(STORE_FIRST_S)
             if version <= self._version:
                 return
--- a/packages/fleet/src/endivesaddle/fleet/routes/facts.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/facts.py
@@ -7,7 +7,7 @@
 from endivesaddle.fleet.routes import events
 from endivesaddle.fleet.routes.declared import RouteServer
 from endivesaddle.fleet.routes.instance_directory import InstanceDirectory
-from endivesaddle.fleet.routes.routing_state import Contact, RoutingState
+from endivesaddle.fleet.routes.routing_state import RoutingState, StoreStatus
 from endivesaddle.wire import routers_pb2
 
 FRESH_S = 2.5
@@ -20,20 +20,20 @@
     def __init__(
         self,
         routing_state: RoutingState,
-        contact: Contact,
+        store_status: StoreStatus,
         directory: InstanceDirectory,
         clock: Clock,
     ) -> None:
         """Tell what ``routing_state`` and ``directory`` hold, and add to them."""
         self._routing_state = routing_state
-        self._contact = contact
+        self._store_status = store_status
         self._directory = directory
         self._clock = clock
 
     @property
     def wanted(self) -> bool:
         """Whether this router needs to be told."""
-        return self._contact.away or self._routing_state.declarations is None
+        return self._store_status.unavailable or self._routing_state.declarations is None
 
     def tell(self, reply: routers_pb2.WordReply) -> None:
         """Add what is known here to a reply."""
@@ -61,7 +61,7 @@
         if reply.evacuations_told:
             version = reply.evacuations_version
             routing_state.evacuations.replace(reply.evacuated, version, now_unix_s, address)
-        if not reply.servers_told or not self._contact.away:
+        if not reply.servers_told or not self._store_status.unavailable:
             return
         before = set(routing_state.servers)
         servers = {server.lifetime: _server(server, now_unix_s) for server in reply.servers}
--- a/packages/fleet/src/endivesaddle/fleet/routes/following.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/following.py
@@ -15,7 +15,7 @@
 from endivesaddle.fleet.ports import Stored
 from endivesaddle.fleet.routes import events
 from endivesaddle.fleet.routes.declared import Declarations, RouteServer
-from endivesaddle.fleet.routes.routing_state import Contact, RoutingState
+from endivesaddle.fleet.routes.routing_state import RoutingState, StoreStatus
 from endivesaddle.fleet.routes.unread_names import UnreadNames
 from endivesaddle.fleet.sentinels import Absent
 
@@ -95,14 +95,14 @@
         decoder: Decoder,
         routing_state: RoutingState,
         clock: Clock,
-        contact: Contact,
+        store_status: StoreStatus,
     ) -> None:
         """Follow ``store``; ``decoder`` reads what lies there."""
         self._store = store
         self._decoder = decoder
         self._routing_state = routing_state
         self._clock = clock
-        self.contact = contact
+        self.store_status = store_status
 
     async def run(self) -> None:
         """Follow both prefixes until cancelled."""
@@ -133,11 +133,11 @@
         while True:
             try:
                 changes = await self._store.scan(prefix, self._clock.now_s() + ANSWER_S)
-                self.contact.heard()
+                self.store_status.answered()
                 listed(changes)
                 await self._poll(prefix, wait_s, changes.version, changed)
             except StoreUnreachable as error:
-                self.contact.lost(str(error))
+                self.store_status.failed(str(error))
                 await anyio.sleep(PAUSE_S)
 
     async def _poll(
@@ -151,7 +151,7 @@
         while True:
             deadline_unix_s = self._clock.now_s() + wait_s + ANSWER_S
             changes = await self._store.poll(prefix, version, wait_s, deadline_unix_s)
-            self.contact.heard()
+            self.store_status.answered()
             if isinstance(changes, Absent):
                 return
             version = changes.version
@@ -225,7 +225,7 @@
             self._routing_state.withdrawn(self._decoder.lifetime(stored.key), 'unreadable')
 
     def _missing(self, lifetime: str) -> None:
-        since_s = self._clock.now_s() - self.contact.regained_unix_s
+        since_s = self._clock.now_s() - self.store_status.recovered_unix_s
         if since_s < LAPSE_S and lifetime in self._routing_state.servers:
             self._routing_state.missing.setdefault(lifetime, self._clock.now_s())
         else:
--- a/packages/fleet/src/endivesaddle/fleet/routes/neighbours.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/neighbours.py
@@ -22,7 +22,7 @@
 from endivesaddle.fleet.routes.instance_directory import InstanceDirectory
 from endivesaddle.fleet.routes.left_servers import ANSWER
 from endivesaddle.fleet.routes.news import News, NewsSources, Reader
-from endivesaddle.fleet.routes.routing_state import Contact, RoutingState
+from endivesaddle.fleet.routes.routing_state import RoutingState, StoreStatus
 from endivesaddle.fleet.routing.dispatcher import Dispatcher
 from endivesaddle.fleet.routing.sent_parts import SentPart
 from endivesaddle.wire import routers_pb2, rpcs
@@ -56,7 +56,7 @@
     """What a router has to tell and to learn."""
 
     routing_state: RoutingState
-    contact: Contact
+    store_status: StoreStatus
     dispatcher: Dispatcher
     directory: InstanceDirectory
     decoder: Decoder
@@ -93,8 +93,10 @@
         parts.routing_state.left.listeners.append(self._met)
         parts.routing_state.limits.listeners.append(self._met)
         self._leaving: set[str] = set()
-        self._facts = Facts(parts.routing_state, parts.contact, parts.directory, clock)
-        self._declarations = DeclarationsFetch(parts.routing_state, parts.contact, parts.decoder)
+        self._facts = Facts(parts.routing_state, parts.store_status, parts.directory, clock)
+        self._declarations = DeclarationsFetch(
+            parts.routing_state, parts.store_status, parts.decoder
+        )
         self._large = anyio.Event()
         parts.dispatcher.large_prompt_listeners.append(self._sent_large)
         self._talking: dict[str, anyio.CancelScope] = {}
@@ -126,7 +128,9 @@
         return bool(self._lanes.keys() - self._leaving)
 
     def _addresses(self) -> set[str]:
-        away = self._parts.contact.away or self._parts.routing_state.declarations is None
+        away = (
+            self._parts.store_status.unavailable or self._parts.routing_state.declarations is None
+        )
         if self._board_address() and not away:
             return set()
         addresses = set(self._parts.directory.others.values())
@@ -257,7 +261,7 @@
             version=parts.routing_state.declarations.version
             if parts.routing_state.declarations
             else 0,
-            store_age_s=parts.contact.age_s,
+            store_age_s=parts.store_status.age_s,
             lanes=_lane_words(parts.dispatcher),
             wants_facts=self._facts.wanted,
             leaving=self.leaving,
--- a/packages/fleet/src/endivesaddle/fleet/routes/routing_state.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/routing_state.py
@@ -169,31 +169,31 @@
         return self._written.get(server.lifetime, 0)
 
 
-class Contact:
+class StoreStatus:
     """When the store was last heard, and whether it is away."""
 
     def __init__(self, clock: Clock) -> None:
         """Start without contact."""
-        self.heard_unix_s = 0.0
-        self.regained_unix_s = 0.0
-        self.away = False
+        self.last_answer_unix_s = 0.0
+        self.recovered_unix_s = 0.0
+        self.unavailable = False
         self._clock = clock
 
-    def heard(self) -> None:
+    def answered(self) -> None:
         """Note an answer."""
-        self.heard_unix_s = self._clock.now_s()
-        if self.away:
-            self.away = False
-            self.regained_unix_s = self.heard_unix_s
+        self.last_answer_unix_s = self._clock.now_s()
+        if self.unavailable:
+            self.unavailable = False
+            self.recovered_unix_s = self.last_answer_unix_s
             store_events.STORE_BACK.log()
 
-    def lost(self, reason: str) -> None:
+    def failed(self, reason: str) -> None:
         """Note a call without an answer."""
-        if not self.away:
-            self.away = True
-            store_events.STORE_LOST.log(reason=reason, heard_unix_s=self.heard_unix_s)
+        if not self.unavailable:
+            self.unavailable = True
+            store_events.STORE_LOST.log(reason=reason, heard_unix_s=self.last_answer_unix_s)
 
     @property
     def age_s(self) -> float:
         """Seconds since the store last answered."""
-        return self._clock.now_s() - self.heard_unix_s
+        return self._clock.now_s() - self.last_answer_unix_s
