--- a/features/steps/leaving_servers_steps.py
+++ b/features/steps/leaving_servers_steps.py
@@ -39,7 +39,7 @@
 @then('the router does not choose the server')
 def not_chosen_late(context: Any) -> None:
     """Look what it may choose."""
-    assert not context.play.routing_state.of_service(SERVICE)
+    assert not context.play.routing_state.available_servers(SERVICE)
 
 
 @given('a router whose connections take {seconds:g} seconds')
--- a/features/subjects/cold_bursts.py
+++ b/features/subjects/cold_bursts.py
@@ -28,7 +28,7 @@
         routing_state.declare(
             Declarations(1, (), (Service('engines', 0, 9, 0, COLD_S, PER_S),), ()), b'', 'x'
         )
-        routing_state.server(SERVER, 'test')
+        routing_state.update_server(SERVER, 'test')
         names = [f'router-{number}' for number in range(routers)]
         self._drawn = RandomRouters(SEED, names)
         self._routers = [
@@ -73,7 +73,7 @@
         routing_state = RoutingState()
         service = Service('engines', 0, 9, 0, COLD_S, PER_S)
         routing_state.declare(Declarations(1, (), (service,), ()), b'', 'x')
-        routing_state.server(SERVER._replace(cold_until_unix_s=0), 'test')
+        routing_state.update_server(SERVER._replace(cold_until_unix_s=0), 'test')
         self.backend = Backend(SERVER)
         self.cold = ColdStartLimits('few_routers', routing_state, 'router-0')
         self.now_unix_s = START_UNIX_S + 2 * COLD_S
--- a/features/subjects/forward_runs.py
+++ b/features/subjects/forward_runs.py
@@ -300,7 +300,7 @@
     def leave_server(self, lifetime: str) -> None:
         """Have a server say that it leaves."""
         server = self._routing_state.servers[lifetime]
-        self._routing_state.server(server._replace(leaving=True), 'test')
+        self._routing_state.update_server(server._replace(leaving=True), 'test')
 
     def use_up(self) -> None:
         """Leave nothing to reserve from: the store is away before anything was granted."""
@@ -335,7 +335,9 @@
         self._routing_state.declare(declared, b'', 'test')
         for number in range(3):
             name = f'life-{number}'
-            self._routing_state.server(RouteServer(name, 'engines', f'{name}:1', 'a', 4), 'test')
+            self._routing_state.update_server(
+                RouteServer(name, 'engines', f'{name}:1', 'a', 4), 'test'
+            )
         self._store = MemoryStore(self._clock)
         allocator = Allocator(AllocatorContext('one', 'one', self._store, self._clock))
         self._keeping = asyncio.ensure_future(allocator.run())
--- a/features/subjects/homes.py
+++ b/features/subjects/homes.py
@@ -35,7 +35,7 @@
         for number, name in enumerate(DATA_CENTRES):
             entry = {**ENTRY, 'zone': name, 'address': f'10.0.{number}.1:80'}
             stored = Stored(f'servers/{name}', msgspec.json.encode(entry), 1)
-            self._routing_state.server(self._decoder.server(stored, 0), 'test')
+            self._routing_state.update_server(self._decoder.server(stored, 0), 'test')
         self.outcomes: list[Placement | Refusal] = []
 
     def close(self) -> None:
--- a/features/subjects/leaving_servers.py
+++ b/features/subjects/leaving_servers.py
@@ -145,7 +145,7 @@
     async def _chosen(self, router: int, server: int, seconds: float) -> bool:
         until_unix_s = self._clock.now_s() + seconds
         while self._clock.now_s() < until_unix_s:
-            taking = self.routers[router].routing_state.of_service(SERVICE)
+            taking = self.routers[router].routing_state.available_servers(SERVICE)
             if _server(server) in {one.lifetime for one in taking}:
                 return True
             await anyio.sleep(LOOK_S)
@@ -172,9 +172,9 @@
         self.routing_state = RoutingState()
         server = RouteServer(_server(0), SERVICE, '10.0.2.0:1', 'porto-a', 64)
         self._server = server
-        self.routing_state.server(server, 'test')
+        self.routing_state.update_server(server, 'test')
         left = server._replace(leaving=True)
-        self.routing_state.replace({server.lifetime: left}, version, 'router-1')
+        self.routing_state.replace_servers({server.lifetime: left}, version, 'router-1')
 
     def arrive(self) -> int:
         """Let the store's own list arrive; return its version."""
--- a/features/subjects/news_fleet.py
+++ b/features/subjects/news_fleet.py
@@ -132,9 +132,9 @@
         await anyio.sleep(self._random.uniform(0, 1))
         life = LeftLife(f'life-{number}', 0)
         began_unix_s = self._clock.now_s()
-        self._random.choice(self._routers).routing_state.left.add(life, 'answer')
+        self._random.choice(self._routers).routing_state.leaving_servers.add(life, 'answer')
         while self._clock.now_s() < began_unix_s + LONGEST_S:
-            if all(router.routing_state.left.said(life) for router in self._routers):
+            if all(router.routing_state.leaving_servers.said(life) for router in self._routers):
                 break
             await anyio.sleep(LOOK_S)
         return self._clock.now_s() - began_unix_s
--- a/features/subjects/users_platform.py
+++ b/features/subjects/users_platform.py
@@ -157,7 +157,7 @@
 
     def servers(self) -> tuple[RouteServer, ...]:
         """Return the servers that take requests."""
-        return self.routing_state.of_service('engines')
+        return self.routing_state.available_servers('engines')
 
     def version(self) -> int:
         """Return the version in force."""
--- a/packages/fleet/src/endivesaddle/fleet/routes/crash_detection.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/crash_detection.py
@@ -127,7 +127,7 @@
         One that takes connections may go on without an entry: these lapse while the store is down.
         """
         if broken.listens:
-            return self._routing_state.replaced(broken.server)
-        return broken.server.incarnation in self._ended or not self._routing_state.lists(
+            return self._routing_state.is_replaced(broken.server)
+        return broken.server.incarnation in self._ended or not self._routing_state.is_listed(
             broken.server
         )
--- a/packages/fleet/src/endivesaddle/fleet/routes/facts.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/facts.py
@@ -65,7 +65,7 @@
             return
         before = set(routing_state.servers)
         servers = {server.lifetime: _server(server, now_unix_s) for server in reply.servers}
-        routing_state.replace(servers, reply.servers_version, address)
+        routing_state.replace_servers(servers, reply.servers_version, address)
         if before != set(routing_state.servers):
             events.FACTS.log(
                 other=address, store_age_s=reply.word.store_age_s, servers=len(reply.servers)
--- a/packages/fleet/src/endivesaddle/fleet/routes/following.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/following.py
@@ -194,7 +194,7 @@
         if changes.version < self._routing_state.servers_version:
             # It was under way while another router told a newer list.
             return
-        self._routing_state.heard_servers(changes.version, self._clock.now_s())
+        self._routing_state.note_server_list(changes.version, self._clock.now_s())
         present = set()
         for stored in changes.entries:
             present.add(self._decoder.lifetime(stored.key))
@@ -206,7 +206,7 @@
         # What another router told while the store did not answer here may be newer than a part of
         # these: taken in again, that part would bring back servers that have left.
         newer_than = self._routing_state.servers_version
-        self._routing_state.heard_servers(changes.version, self._clock.now_s())
+        self._routing_state.note_server_list(changes.version, self._clock.now_s())
         for stored in changes.entries:
             if stored.version <= newer_than:
                 continue
@@ -218,18 +218,18 @@
     def _server(self, stored: Stored) -> None:
         try:
             server = self._decoder.server(stored, self._clock.now_s())
-            self._routing_state.server(server, 'store', stored.version)
+            self._routing_state.update_server(server, 'store', stored.version)
         except ValueError as error:
             # It names no server to use: another writer's, or what became of the entry of one.
             events.DOCUMENT_BAD.log(key=stored.key, version=stored.version, error=str(error))
-            self._routing_state.withdrawn(self._decoder.lifetime(stored.key), 'unreadable')
+            self._routing_state.remove_server(self._decoder.lifetime(stored.key), 'unreadable')
 
     def _missing(self, lifetime: str) -> None:
         since_s = self._clock.now_s() - self.store_status.recovered_unix_s
         if since_s < LAPSE_S and lifetime in self._routing_state.servers:
             self._routing_state.missing.setdefault(lifetime, self._clock.now_s())
         else:
-            self._routing_state.withdrawn(lifetime, 'store')
+            self._routing_state.remove_server(lifetime, 'store')
 
     async def _lapse(self) -> None:
         """Withdraw what stayed missing after an outage."""
@@ -238,4 +238,4 @@
             latest_unix_s = self._clock.now_s() - LAPSE_S
             for lifetime, since_unix_s in list(self._routing_state.missing.items()):
                 if since_unix_s < latest_unix_s:
-                    self._routing_state.withdrawn(lifetime, 'lapsed')
+                    self._routing_state.remove_server(lifetime, 'lapsed')
--- a/packages/fleet/src/endivesaddle/fleet/routes/neighbours.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/neighbours.py
@@ -82,7 +82,9 @@
         self._seen_board = ''
         self._news = News(
             NewsSources(
-                parts.dispatcher.crashes, parts.routing_state.left, parts.routing_state.limits
+                parts.dispatcher.crashes,
+                parts.routing_state.leaving_servers,
+                parts.routing_state.limits,
             ),
             clock,
         )
@@ -90,7 +92,7 @@
         self._board = Reader()
         self._own_news = anyio.Event()
         parts.dispatcher.crashes.listeners.append(self._met)
-        parts.routing_state.left.listeners.append(self._met)
+        parts.routing_state.leaving_servers.listeners.append(self._met)
         parts.routing_state.limits.listeners.append(self._met)
         self._leaving: set[str] = set()
         self._facts = Facts(parts.routing_state, parts.store_status, parts.directory, clock)
--- a/packages/fleet/src/endivesaddle/fleet/routes/routing_state.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/routing_state.py
@@ -32,8 +32,8 @@
         self.evacuations = Evacuations()
         self.evacuations.listeners.append(self._tell)
         self.limits = AdvertisedLimits()
-        self.left = LeftServers()
-        self.left.listeners.append(self._said_it_leaves)
+        self.leaving_servers = LeftServers()
+        self.leaving_servers.listeners.append(self._said_it_leaves)
         self._written: dict[str, int] = {}
         self._by_service: dict[str, tuple[RouteServer, ...]] = {}
 
@@ -48,12 +48,12 @@
         self._tell()
         return True
 
-    def heard_servers(self, version: int, now_unix_s: float) -> None:
+    def note_server_list(self, version: int, now_unix_s: float) -> None:
         """Note that the store told now of all entries of servers up to a version of it."""
         self.servers_version = max(self.servers_version, version)
         self.servers_heard_unix_s = now_unix_s
 
-    def server(self, server: RouteServer, source: str, version: int = 0) -> None:
+    def update_server(self, server: RouteServer, source: str, version: int = 0) -> None:
         """Take in what a server said of itself, in an entry of a version, 0 for unknown."""
         known = self.servers.get(server.lifetime)
         if known is not None and known.born_unix_ms > server.born_unix_ms:
@@ -61,7 +61,7 @@
             return
         self.missing.pop(server.lifetime, None)
         self._written[server.lifetime] = version
-        if self.left.said(LeftLife(server.lifetime, server.born_unix_ms)):
+        if self.leaving_servers.said(LeftLife(server.lifetime, server.born_unix_ms)):
             # Its own word in an answer goes before an entry that was written earlier.
             server = server._replace(leaving=True)
         if known == server:
@@ -77,7 +77,7 @@
         )
         self._tell()
 
-    def withdrawn(self, lifetime: str, source: str) -> None:
+    def remove_server(self, lifetime: str, source: str) -> None:
         """Send a server nothing more: its entry is gone."""
         self.missing.pop(lifetime, None)
         self._written.pop(lifetime, None)
@@ -87,7 +87,9 @@
         events.SERVER_GONE.log(server=lifetime, address=server.address, source=source)
         self._tell()
 
-    def replace(self, servers: Mapping[str, RouteServer], version: int, source: str) -> None:
+    def replace_servers(
+        self, servers: Mapping[str, RouteServer], version: int, source: str
+    ) -> None:
         """Take a whole list as of a version of the store: what it lacks is withdrawn.
 
         An older list than what is known here is passed over: it would bring back servers that
@@ -97,27 +99,27 @@
             return
         self.servers_version = version
         for lifetime in set(self.servers) - set(servers):
-            self.withdrawn(lifetime, source)
+            self.remove_server(lifetime, source)
         for server in servers.values():
-            self.server(server, source)
+            self.update_server(server, source)
 
-    def lists(self, server: RouteServer) -> bool:
+    def is_listed(self, server: RouteServer) -> bool:
         """Tell whether this life of a server is still there, leaving or not."""
         known = self.servers.get(server.lifetime)
         return known is not None and known.incarnation == server.incarnation
 
-    def replaced(self, server: RouteServer) -> bool:
+    def is_replaced(self, server: RouteServer) -> bool:
         """Tell whether another life of a server has its address."""
         return any(
             one.address == server.address and one.incarnation != server.incarnation
             for one in self.servers.values()
         )
 
-    def takes(self, server: RouteServer) -> bool:
+    def accepts_requests(self, server: RouteServer) -> bool:
         """Tell whether this life of a server may be sent requests."""
         if server.data_centre in self.evacuations.names:
             return False
-        return self.lists(server) and not self.servers[server.lifetime].leaving
+        return self.is_listed(server) and not self.servers[server.lifetime].leaving
 
     def cold_until_unix_s(self, server: RouteServer) -> float:
         """Return until when a server is cold, by its entry or by its data centre's takeback."""
@@ -128,11 +130,11 @@
         suspected_unix_s = self.evacuations.cold_until_unix_s(server.data_centre, version, cold_s)
         return max(known.cold_until_unix_s, suspected_unix_s)
 
-    def of_service(self, service: str) -> tuple[RouteServer, ...]:
+    def available_servers(self, service: str) -> tuple[RouteServer, ...]:
         """Return the servers of a service that are not leaving, in no evacuated data centre."""
         return self._by_service.get(service, ())
 
-    def all_of_service(self, service: str) -> tuple[RouteServer, ...]:
+    def staying_servers(self, service: str) -> tuple[RouteServer, ...]:
         """Return the servers of a service that are not leaving, evacuated or not."""
         return tuple(
             one for one in self.servers.values() if one.service == service and not one.leaving
@@ -141,7 +143,7 @@
     def _said_it_leaves(self, lifetime: str, source: str) -> None:
         known = self.servers.get(lifetime)
         if known is not None:
-            self.server(known, source)
+            self.update_server(known, source)
 
     def _tell(self) -> None:
         grouped: dict[str, list[RouteServer]] = {}
--- a/packages/fleet/src/endivesaddle/fleet/routing/candidates.py
+++ b/packages/fleet/src/endivesaddle/fleet/routing/candidates.py
@@ -43,7 +43,7 @@
 
         A server that does not want any has said so; one that fell silent may be back.
         """
-        servers = self._at_home(request, self._routing_state.of_service(service))
+        servers = self._at_home(request, self._routing_state.available_servers(service))
         backends = [self._backends.of(one) for one in servers if one.lifetime not in exclude]
         backends = [backend for backend in backends if backend.accepts_requests(now_unix_s)]
         backends = [
@@ -58,10 +58,10 @@
         named a limit, or lie in evacuated data centres.  Told to come back sooner, callers used up
         their tries.
         """
-        evacuated_too = self._routing_state.all_of_service(service)
+        evacuated_too = self._routing_state.staying_servers(service)
         if evacuated_too and not self._at_home(request, evacuated_too):
             return NoServer('no server of the service is in a home region')
-        servers = self._at_home(request, self._routing_state.of_service(service))
+        servers = self._at_home(request, self._routing_state.available_servers(service))
         if evacuated_too and not servers:
             return NoServer('all servers of the service are in evacuated data centres', EVACUATED_S)
         free_unix_s = [self._free_unix_s(self._backends.of(one), now_unix_s) for one in servers]
--- a/packages/fleet/src/endivesaddle/fleet/routing/dispatcher.py
+++ b/packages/fleet/src/endivesaddle/fleet/routing/dispatcher.py
@@ -103,7 +103,7 @@
 
     def mark_misdirected(self) -> None:
         """Note that the address belongs to another server now."""
-        self._dispatcher.routing_state.withdrawn(self.backend.server.lifetime, 'misdirected')
+        self._dispatcher.routing_state.remove_server(self.backend.server.lifetime, 'misdirected')
 
 
 class Dispatcher:
@@ -199,7 +199,9 @@
 
     def accepts_requests(self, backend: Backend) -> bool:
         """Tell whether a server may be sent a request now."""
-        return self.routing_state.takes(backend.server) and backend.accepts_requests(self.now_s())
+        return self.routing_state.accepts_requests(backend.server) and backend.accepts_requests(
+            self.now_s()
+        )
 
     def may_retry(self, request: ForwardRequest) -> bool:
         """Spend one repeat of the service's share."""
--- a/packages/fleet/src/endivesaddle/fleet/routing/server_signals.py
+++ b/packages/fleet/src/endivesaddle/fleet/routing/server_signals.py
@@ -40,7 +40,7 @@
 def leaving(header: SignalHeader, backend: Backend, routing_state: RoutingState) -> None:
     """Note for all routers that a server wants no more requests in this life."""
     if header.text.strip() == YES:
-        routing_state.left.add(
+        routing_state.leaving_servers.add(
             LeftLife(backend.server.lifetime, backend.server.born_unix_ms), ANSWER
         )
 
