--- a/features/subjects/cut_router.py
+++ b/features/subjects/cut_router.py
@@ -13,13 +13,13 @@
 from endivesaddle.fleet.routes.call_times import TimedPeers
 from endivesaddle.fleet.routes.declared import Declarations, RouteAccount, RouteServer
 from endivesaddle.fleet.routes.failover_store import FailoverStore
-from endivesaddle.fleet.routes.following import Decoder, Follower
 from endivesaddle.fleet.routes.grant_group import AllocatorContext
 from endivesaddle.fleet.routes.instance_directory import ROUTER, Instance, InstanceDirectory
 from endivesaddle.fleet.routes.neighbours import NeighbourParts, Neighbours
 from endivesaddle.fleet.routes.prepaid_pools import PrepaidPools, PrepaidPoolsParts
 from endivesaddle.fleet.routes.remote_store import answer_store
 from endivesaddle.fleet.routes.routing_state import RoutingState, StoreStatus
+from endivesaddle.fleet.routes.store_watch import Decoder, StoreWatcher
 from endivesaddle.fleet.routes.stored_crashes import StoredCrashes
 from endivesaddle.fleet.routing.dispatcher import Dispatcher
 from endivesaddle.fleet.routing.forward_settings import ForwardSettings
@@ -122,7 +122,9 @@
             name,
             address,
         )
-        self._follower = Follower(self.store, decoder, self.routing_state, clock, self.store_status)
+        self._store_watcher = StoreWatcher(
+            self.store, decoder, self.routing_state, clock, self.store_status
+        )
         self._crashes = StoredCrashes(self.store, self.dispatcher.crashes, clock)
         self._net = net
         self._clock = clock
@@ -139,7 +141,7 @@
         answer_store(handlers, self.cut, self._clock)
         self._net.serve(self.address, handlers)
         parts = (self.store, self.directory, self.allocator, self.pools, self._neighbours)
-        tasks = (*parts, self._follower, self._crashes)
+        tasks = (*parts, self._store_watcher, self._crashes)
         self._tasks = [asyncio.ensure_future(part.run()) for part in tasks]
         self._tasks.append(asyncio.ensure_future(self._tend()))
 
--- a/features/subjects/leaving_servers.py
+++ b/features/subjects/leaving_servers.py
@@ -9,8 +9,8 @@
 from endivesaddle.fleet.errors import StoreUnreachable
 from endivesaddle.fleet.ports import Stored
 from endivesaddle.fleet.routes.declared import Declarations, RouteAccount, RouteServer
-from endivesaddle.fleet.routes.following import Follower
 from endivesaddle.fleet.routes.routing_state import RoutingState, StoreStatus
+from endivesaddle.fleet.routes.store_watch import StoreWatcher
 from endivesaddle.stand_ins.memory_peers import MemoryNet
 from endivesaddle.stand_ins.memory_store import MemoryStore
 from subjects.cut_router import CutRouter
@@ -188,9 +188,11 @@
         store = MemoryStore(clock)
         entry = msgspec.json.encode(self._server)
         version = store.put(f'{SERVERS}{self._server.lifetime}', entry).version
-        follower = Follower(store, Entries(), self.routing_state, clock, StoreStatus(clock))
+        store_watcher = StoreWatcher(
+            store, Entries(), self.routing_state, clock, StoreStatus(clock)
+        )
         with anyio.move_on_after(1):
-            await follower.run()
+            await store_watcher.run()
         return version
 
 
--- a/features/subjects/shared_polls.py
+++ b/features/subjects/shared_polls.py
@@ -6,8 +6,8 @@
 
 from endivesaddle.fleet.clock import LoopClock
 from endivesaddle.fleet.errors import StoreUnreachable
-from endivesaddle.fleet.routes.following import Changes
 from endivesaddle.fleet.routes.shared_polls import SharedPolls
+from endivesaddle.fleet.routes.store_watch import Changes
 from endivesaddle.fleet.sentinels import Absent
 from endivesaddle.stand_ins.memory_store import MemoryStore
 from subjects.links_loop import ScenarioLoop
--- a/features/subjects/users_platform.py
+++ b/features/subjects/users_platform.py
@@ -16,9 +16,9 @@
 from endivesaddle.fleet.clock import LoopClock
 from endivesaddle.fleet.errors import FleetError, UserError
 from endivesaddle.fleet.routes.declared import Repeat, RouteServer
-from endivesaddle.fleet.routes.following import Follower
 from endivesaddle.fleet.routes.header_names import HeaderNames
 from endivesaddle.fleet.routes.routing_state import RoutingState, StoreStatus
+from endivesaddle.fleet.routes.store_watch import StoreWatcher
 from endivesaddle.stand_ins.etcd_transport import AsgiTransport
 from endivesaddle.stand_ins.memory_store import MemoryStore
 from subjects.httpx_links import HttpxLinks
@@ -176,8 +176,10 @@
 
     async def _follow(self) -> None:
         decoder = module('documents').PlatformDecoder()
-        follower = Follower(self.store, decoder, self.routing_state, self._clock, self.store_status)
-        self._following = asyncio.ensure_future(follower.run())
+        store_watcher = StoreWatcher(
+            self.store, decoder, self.routing_state, self._clock, self.store_status
+        )
+        self._following = asyncio.ensure_future(store_watcher.run())
         await anyio.sleep(0.1)
 
     async def _put(self, key: str, document: dict[str, Any]) -> None:
--- a/packages/daemon/src/endivesaddle/daemon/forward_parts.py
+++ b/packages/daemon/src/endivesaddle/daemon/forward_parts.py
@@ -8,12 +8,12 @@
 from endivesaddle.fleet.routes.allocator_choice import AllocatorChoice
 from endivesaddle.fleet.routes.call_times import TimedPeers
 from endivesaddle.fleet.routes.failover_store import FailoverStore
-from endivesaddle.fleet.routes.following import Decoder
 from endivesaddle.fleet.routes.grant_group import AllocatorContext
 from endivesaddle.fleet.routes.header_names import HeaderNames
 from endivesaddle.fleet.routes.instance_directory import ROUTER, Instance, InstanceDirectory
 from endivesaddle.fleet.routes.prepaid_pools import PrepaidPools, PrepaidPoolsParts
 from endivesaddle.fleet.routes.routing_state import RoutingState, StoreStatus
+from endivesaddle.fleet.routes.store_watch import Decoder
 from endivesaddle.fleet.routing.dispatcher import Dispatcher
 
 
--- a/packages/daemon/src/endivesaddle/daemon/forwarder.py
+++ b/packages/daemon/src/endivesaddle/daemon/forwarder.py
@@ -22,11 +22,11 @@
 from endivesaddle.fleet.ports import Handlers
 from endivesaddle.fleet.routes.call_times import TimedPeers
 from endivesaddle.fleet.routes.desks import SidecarDesks
-from endivesaddle.fleet.routes.following import Follower
 from endivesaddle.fleet.routes.loop_lag import LoopLag
 from endivesaddle.fleet.routes.neighbours import NeighbourParts, Neighbours
 from endivesaddle.fleet.routes.remote_store import answer_store
 from endivesaddle.fleet.routes.running import Runner
+from endivesaddle.fleet.routes.store_watch import StoreWatcher
 from endivesaddle.fleet.routes.stored_crashes import StoredCrashes
 from endivesaddle.instances import GrpcPeers
 from endivesaddle.instances import serve as serve_calls
@@ -72,7 +72,7 @@
         self._loop_lag = LoopLag(clock)
         self._stopping = Stopping(self.neighbours.others_stay)
         parts = self.parts
-        self._follower = Follower(
+        self._store_watcher = StoreWatcher(
             parts.store, ports.decoder, parts.routing_state, clock, parts.store_status
         )
         self._crashes = StoredCrashes(parts.store, parts.dispatcher.crashes, clock)
@@ -150,7 +150,7 @@
 
     def _running(self) -> Iterable[Callable[[], Coroutine[Any, Any, None]]]:
         return [
-            self._follower.run,
+            self._store_watcher.run,
             self.parts.store.run,
             self.parts.directory.run,
             self.neighbours.run,
--- a/packages/fleet/src/endivesaddle/fleet/routes/declarations.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/declarations.py
@@ -13,9 +13,9 @@
 from endivesaddle.fleet.errors import FleetError
 from endivesaddle.fleet.ports import Handlers, Peers, Stored
 from endivesaddle.fleet.routes import events
-from endivesaddle.fleet.routes.following import Decoder
 from endivesaddle.fleet.routes.parts import PartsReader, in_parts
 from endivesaddle.fleet.routes.routing_state import RoutingState, StoreStatus
+from endivesaddle.fleet.routes.store_watch import Decoder
 from endivesaddle.wire import routers_pb2, rpcs
 
 FIRST_S = 0.4
--- a/packages/fleet/src/endivesaddle/fleet/routes/failover_store.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/failover_store.py
@@ -15,8 +15,8 @@
 from endivesaddle.fleet.ports import Peers, Stored
 from endivesaddle.fleet.routes import store_events as events
 from endivesaddle.fleet.routes.address_backoff import AddressBackoff
-from endivesaddle.fleet.routes.following import Changes
 from endivesaddle.fleet.routes.remote_store import ForwardStore, RemoteStore
+from endivesaddle.fleet.routes.store_watch import Changes
 from endivesaddle.fleet.sentinels import Absent, Conflict
 
 PROBE_S = 0.8
--- a/packages/fleet/src/endivesaddle/fleet/routes/remote_store.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/remote_store.py
@@ -17,8 +17,8 @@
 )
 from endivesaddle.fleet.ports import Handlers, KeyStore, Peers, Stored
 from endivesaddle.fleet.registry import Registry
-from endivesaddle.fleet.routes.following import Changes, PolledStore
 from endivesaddle.fleet.routes.parts import PartsReader, in_parts
+from endivesaddle.fleet.routes.store_watch import Changes, PolledStore
 from endivesaddle.fleet.sentinels import Absent, Conflict
 from endivesaddle.wire import rpcs
 from endivesaddle.wire.routers_pb2 import Part, StoreAsk, StoreEntry, StoreReply
--- a/packages/fleet/src/endivesaddle/fleet/routes/shared_polls.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/shared_polls.py
@@ -12,7 +12,7 @@
 from endivesaddle.fleet.clock import Clock
 from endivesaddle.fleet.errors import StoreUnreachable
 from endivesaddle.fleet.ports import Stored
-from endivesaddle.fleet.routes.following import Changes, PolledStore
+from endivesaddle.fleet.routes.store_watch import Changes, PolledStore
 from endivesaddle.fleet.sentinels import Absent
 
 POLL_S = 1.0
--- a/packages/fleet/src/endivesaddle/fleet/routes/following.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/store_watch.py
@@ -86,7 +86,7 @@
         """Return the lifetime that a server's key names."""
 
 
-class Follower:
+class StoreWatcher:
     """Keep ``routing_state`` up to date from the store."""
 
     def __init__(
--- a/packages/stand_ins/src/endivesaddle/stand_ins/memory_store.py
+++ b/packages/stand_ins/src/endivesaddle/stand_ins/memory_store.py
@@ -11,7 +11,7 @@
 from endivesaddle.fleet.clock import Clock
 from endivesaddle.fleet.errors import StoreUnreachable, StoreWriteUnconfirmed
 from endivesaddle.fleet.ports import Stored
-from endivesaddle.fleet.routes.following import Changes
+from endivesaddle.fleet.routes.store_watch import Changes
 from endivesaddle.fleet.sentinels import Absent, Conflict
 
 
