--- a/features/subjects/held_request.py
+++ b/features/subjects/held_request.py
@@ -3,7 +3,7 @@
 import itertools
 
 from endivesaddle.fleet.routes.advertised_limits import AdvertisedLimits
-from endivesaddle.fleet.routes.left_servers import LeftServers
+from endivesaddle.fleet.routes.leaving_servers import LeavingServers
 from endivesaddle.fleet.routes.news import News, NewsSources
 from endivesaddle.fleet.routing.crash_records import CrashRecords, EndedRun
 from endivesaddle.fleet.routing.forward_settings import ForwardSettings
@@ -22,8 +22,10 @@
         self.now_unix_s = 1_700_000_000.0
         self.records = CrashRecords(ForwardSettings())
         self._other = CrashRecords(ForwardSettings())
-        self._news = News(NewsSources(self.records, LeftServers(), AdvertisedLimits()), self)
-        self._other_news = News(NewsSources(self._other, LeftServers(), AdvertisedLimits()), self)
+        self._news = News(NewsSources(self.records, LeavingServers(), AdvertisedLimits()), self)
+        self._other_news = News(
+            NewsSources(self._other, LeavingServers(), AdvertisedLimits()), self
+        )
         self._lives = itertools.count()
         for _ in range(ends):
             self.now_unix_s += 1
--- a/features/subjects/news_fleet.py
+++ b/features/subjects/news_fleet.py
@@ -10,7 +10,7 @@
 from endivesaddle.fleet.routes.board import Board
 from endivesaddle.fleet.routes.declaration_index import DeclarationIndex
 from endivesaddle.fleet.routes.declared import Declarations
-from endivesaddle.fleet.routes.left_servers import LeftLife
+from endivesaddle.fleet.routes.leaving_servers import LeavingIncarnation
 from endivesaddle.fleet.routes.neighbours import NeighbourParts, Neighbours
 from endivesaddle.fleet.routes.routing_state import RoutingState, StoreStatus
 from endivesaddle.fleet.routing.dispatcher import Dispatcher
@@ -130,7 +130,7 @@
 
     async def _spread(self, number: int) -> float:
         await anyio.sleep(self._random.uniform(0, 1))
-        life = LeftLife(f'life-{number}', 0)
+        life = LeavingIncarnation(f'life-{number}', 0)
         began_unix_s = self._clock.now_s()
         self._random.choice(self._routers).routing_state.leaving_servers.add(life, 'answer')
         while self._clock.now_s() < began_unix_s + LONGEST_S:
--- a/packages/fleet/src/endivesaddle/fleet/routes/board.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/board.py
@@ -14,7 +14,7 @@
 from endivesaddle.fleet.clock import Clock
 from endivesaddle.fleet.ports import Handlers
 from endivesaddle.fleet.routes.advertised_limits import AdvertisedLimits
-from endivesaddle.fleet.routes.left_servers import LeftServers
+from endivesaddle.fleet.routes.leaving_servers import LeavingServers
 from endivesaddle.fleet.routes.news import News, NewsSources
 from endivesaddle.fleet.routing.crash_records import CrashRecords
 from endivesaddle.fleet.routing.forward_settings import ForwardSettings
@@ -50,7 +50,8 @@
         self._left: deque[_Left] = deque()
         # Kept as long as by a router: those that start again are told all.
         self._news = News(
-            NewsSources(CrashRecords(ForwardSettings()), LeftServers(), AdvertisedLimits()), clock
+            NewsSources(CrashRecords(ForwardSettings()), LeavingServers(), AdvertisedLimits()),
+            clock,
         )
 
     def register(self, handlers: Handlers) -> None:
--- a/packages/fleet/src/endivesaddle/fleet/routes/left_servers.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/leaving_servers.py
@@ -17,23 +17,23 @@
 Listener = Callable[[str, str], None]
 
 
-class LeftLife(NamedTuple):
+class LeavingIncarnation(NamedTuple):
     """One life of a server; with ``born_unix_ms`` 0 its name stands for one life alone."""
 
     lifetime: str
     born_unix_ms: int
 
 
-class LeftServers:
+class LeavingServers:
     """The lives that one instance knows of; ``count`` numbers them."""
 
     def __init__(self) -> None:
         """Start with none; listeners are told a lifetime, and who told of it."""
         self.count = 0
         self.listeners: list[Listener] = []
-        self._lives: dict[LeftLife, int] = {}
+        self._lives: dict[LeavingIncarnation, int] = {}
 
-    def add(self, life: LeftLife, source: str) -> None:
+    def add(self, life: LeavingIncarnation, source: str) -> None:
         """Take in that a life leaves."""
         if life in self._lives:
             return
@@ -44,11 +44,11 @@
         for listener in self.listeners:
             listener(life.lifetime, source)
 
-    def said(self, life: LeftLife) -> bool:
+    def said(self, life: LeavingIncarnation) -> bool:
         """Tell whether a life has said that it leaves."""
         return life in self._lives
 
-    def since(self, number: int) -> list[LeftLife]:
+    def since(self, number: int) -> list[LeavingIncarnation]:
         """Return the lives that came after the first ``number``, the oldest first."""
         if number == self.count:
             return []
--- a/packages/fleet/src/endivesaddle/fleet/routes/neighbours.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/neighbours.py
@@ -19,7 +19,7 @@
 from endivesaddle.fleet.routes.declarations import DeclarationsFetch
 from endivesaddle.fleet.routes.facts import Facts
 from endivesaddle.fleet.routes.instance_directory import InstanceDirectory
-from endivesaddle.fleet.routes.left_servers import ANSWER
+from endivesaddle.fleet.routes.leaving_servers import ANSWER
 from endivesaddle.fleet.routes.news import News, NewsSources, Reader
 from endivesaddle.fleet.routes.routing_state import RoutingState, StoreStatus
 from endivesaddle.fleet.routes.store_watch import Decoder
--- a/packages/fleet/src/endivesaddle/fleet/routes/news.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/news.py
@@ -12,7 +12,7 @@
 
 from endivesaddle.fleet.clock import Clock
 from endivesaddle.fleet.routes.advertised_limits import AdvertisedLimit, AdvertisedLimits
-from endivesaddle.fleet.routes.left_servers import LeftLife, LeftServers
+from endivesaddle.fleet.routes.leaving_servers import LeavingIncarnation, LeavingServers
 from endivesaddle.fleet.routing.crash_records import CrashRecord, CrashRecords, EndedRun
 from endivesaddle.wire import routers_pb2
 
@@ -25,7 +25,7 @@
     """What one instance believes that it tells others, and takes from them."""
 
     crashes: CrashRecords
-    left: LeftServers
+    left: LeavingServers
     limits: AdvertisedLimits
 
 
@@ -79,7 +79,7 @@
             )
             self._crashes.merge(told, now_unix_s, source)
         for left in news.left:
-            self._left.add(LeftLife(left.lifetime, left.born_unix_ms), source)
+            self._left.add(LeavingIncarnation(left.lifetime, left.born_unix_ms), source)
         for limit in news.limits:
             observed_unix_s = now_unix_s - max(0.0, limit.age_s)
             self._limits.merge(AdvertisedLimit(limit.life, limit.per_s, observed_unix_s), source)
@@ -130,6 +130,6 @@
         self._lifetime = lifetime
 
 
-def _left_words(lives: Iterable[LeftLife]) -> Iterable[routers_pb2.LeftWord]:
+def _left_words(lives: Iterable[LeavingIncarnation]) -> Iterable[routers_pb2.LeftWord]:
     for life in lives:
         yield routers_pb2.LeftWord(lifetime=life.lifetime, born_unix_ms=life.born_unix_ms)
--- a/packages/fleet/src/endivesaddle/fleet/routes/routing_state.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/routing_state.py
@@ -8,7 +8,7 @@
 from endivesaddle.fleet.routes.declaration_index import DeclarationIndex
 from endivesaddle.fleet.routes.declared import Declarations, RouteServer
 from endivesaddle.fleet.routes.evacuations import Evacuations
-from endivesaddle.fleet.routes.left_servers import LeftLife, LeftServers
+from endivesaddle.fleet.routes.leaving_servers import LeavingIncarnation, LeavingServers
 
 Listener = Callable[[], None]
 
@@ -32,7 +32,7 @@
         self.evacuations = Evacuations()
         self.evacuations.listeners.append(self._tell)
         self.limits = AdvertisedLimits()
-        self.leaving_servers = LeftServers()
+        self.leaving_servers = LeavingServers()
         self.leaving_servers.listeners.append(self._said_it_leaves)
         self._written: dict[str, int] = {}
         self._by_service: dict[str, tuple[RouteServer, ...]] = {}
@@ -61,7 +61,7 @@
             return
         self.missing.pop(server.lifetime, None)
         self._written[server.lifetime] = version
-        if self.leaving_servers.said(LeftLife(server.lifetime, server.born_unix_ms)):
+        if self.leaving_servers.said(LeavingIncarnation(server.lifetime, server.born_unix_ms)):
             # Its own word in an answer goes before an entry that was written earlier.
             server = server._replace(leaving=True)
         if known == server:
--- a/packages/fleet/src/endivesaddle/fleet/routing/server_signals.py
+++ b/packages/fleet/src/endivesaddle/fleet/routing/server_signals.py
@@ -10,7 +10,7 @@
 from typing import NamedTuple
 
 from endivesaddle.fleet.registry import Registry
-from endivesaddle.fleet.routes.left_servers import ANSWER, LeftLife
+from endivesaddle.fleet.routes.leaving_servers import ANSWER, LeavingIncarnation
 from endivesaddle.fleet.routes.routing_state import RoutingState
 from endivesaddle.fleet.routing import forward_events as events
 from endivesaddle.fleet.routing.backends import Backend
@@ -41,7 +41,7 @@
     """Note for all routers that a server wants no more requests in this life."""
     if header.text.strip() == YES:
         routing_state.leaving_servers.add(
-            LeftLife(backend.server.lifetime, backend.server.born_unix_ms), ANSWER
+            LeavingIncarnation(backend.server.lifetime, backend.server.born_unix_ms), ANSWER
         )
 
 
