--- a/features/subjects/held_request.py
+++ b/features/subjects/held_request.py
@@ -4,7 +4,7 @@
 
 from endivesaddle.fleet.routes.advertised_limits import AdvertisedLimits
 from endivesaddle.fleet.routes.leaving_servers import LeavingServers
-from endivesaddle.fleet.routes.news import News, NewsSources
+from endivesaddle.fleet.routes.peer_updates import PeerUpdates, UpdateSources
 from endivesaddle.fleet.routing.crash_records import CrashRecords, EndedRun
 from endivesaddle.fleet.routing.forward_settings import ForwardSettings
 from endivesaddle.wire import routers_pb2
@@ -22,9 +22,11 @@
         self.now_unix_s = 1_700_000_000.0
         self.records = CrashRecords(ForwardSettings())
         self._other = CrashRecords(ForwardSettings())
-        self._news = News(NewsSources(self.records, LeavingServers(), AdvertisedLimits()), self)
-        self._other_news = News(
-            NewsSources(self._other, LeavingServers(), AdvertisedLimits()), self
+        self._updates = PeerUpdates(
+            UpdateSources(self.records, LeavingServers(), AdvertisedLimits()), self
+        )
+        self._other_updates = PeerUpdates(
+            UpdateSources(self._other, LeavingServers(), AdvertisedLimits()), self
         )
         self._lives = itertools.count()
         for _ in range(ends):
@@ -50,14 +52,14 @@
 
     def answer_elsewhere(self) -> None:
         """Tell the other instance twice, and have the request answered there."""
-        self._early = self._news.since(START)
-        self._other_news.hear(self._early, 'test')
-        self._other_news.hear(self._early, 'test')
+        self._early = self._updates.since(START)
+        self._other_updates.merge(self._early, 'test')
+        self._other_updates.merge(self._early, 'test')
         assert self.held_elsewhere_s()
         self._other.answered(REQUEST, self.now_unix_s)
 
     def tell_all_again(self) -> None:
         """Tell what was known before the answer once more, and then all, both ways."""
-        self._other_news.hear(self._early, 'test')
-        self._news.hear(self._other_news.since(START), 'test')
-        self._other_news.hear(self._news.since(START), 'test')
+        self._other_updates.merge(self._early, 'test')
+        self._updates.merge(self._other_updates.since(START), 'test')
+        self._other_updates.merge(self._updates.since(START), 'test')
--- a/packages/fleet/src/endivesaddle/fleet/routes/board.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/board.py
@@ -15,7 +15,7 @@
 from endivesaddle.fleet.ports import Handlers
 from endivesaddle.fleet.routes.advertised_limits import AdvertisedLimits
 from endivesaddle.fleet.routes.leaving_servers import LeavingServers
-from endivesaddle.fleet.routes.news import News, NewsSources
+from endivesaddle.fleet.routes.peer_updates import PeerUpdates, UpdateSources
 from endivesaddle.fleet.routing.crash_records import CrashRecords
 from endivesaddle.fleet.routing.forward_settings import ForwardSettings
 from endivesaddle.wire import rpcs
@@ -49,8 +49,8 @@
         self._waiting = 0
         self._left: deque[_Left] = deque()
         # Kept as long as by a router: those that start again are told all.
-        self._news = News(
-            NewsSources(CrashRecords(ForwardSettings()), LeavingServers(), AdvertisedLimits()),
+        self._updates = PeerUpdates(
+            UpdateSources(CrashRecords(ForwardSettings()), LeavingServers(), AdvertisedLimits()),
             clock,
         )
 
@@ -64,7 +64,7 @@
         Of each router's words the newest tells its loads; shared parts are told of all of them.
         """
         same = asked.board == self._lifetime
-        self._news.hear(asked.word.news, asked.word.address)
+        self._updates.merge(asked.word.news, asked.word.address)
         # They are told from here on, so that they need not go with the word as well.
         asked.word.ClearField('news')
         self._leave(asked.word)
@@ -76,7 +76,7 @@
         if not heard and not asked.news_only:
             reply.words.extend(self._since(seen, asked.word.lifetime))
             reply.number = self._number
-        reply.news.CopyFrom(self._news.since(news_seen))
+        reply.news.CopyFrom(self._updates.since(news_seen))
         return reply
 
     def _since(self, seen: int, lifetime: str) -> Iterable[Word]:
@@ -100,8 +100,8 @@
         self._waiting += 1
         try:
             with anyio.move_on_after(min(wait_s, LONGEST_WAIT_S)):
-                while not self._news.lacks(seen):
-                    await self._news.changed()
+                while not self._updates.lacks(seen):
+                    await self._updates.changed()
                     await anyio.sleep(max(GATHER_S, self._waiting / ANSWERS_PER_S))
                 return True
         finally:
--- a/packages/fleet/src/endivesaddle/fleet/routes/neighbours.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/neighbours.py
@@ -20,7 +20,7 @@
 from endivesaddle.fleet.routes.facts import Facts
 from endivesaddle.fleet.routes.instance_directory import InstanceDirectory
 from endivesaddle.fleet.routes.leaving_servers import ANSWER
-from endivesaddle.fleet.routes.news import News, NewsSources, Reader
+from endivesaddle.fleet.routes.peer_updates import PeerUpdates, UpdateCursor, UpdateSources
 from endivesaddle.fleet.routes.routing_state import RoutingState, StoreStatus
 from endivesaddle.fleet.routes.store_watch import Decoder
 from endivesaddle.fleet.routing.dispatcher import Dispatcher
@@ -80,8 +80,8 @@
         self._seen = 0
         self._parts_told = parts.dispatcher.sent_parts.count
         self._seen_board = ''
-        self._news = News(
-            NewsSources(
+        self._updates = PeerUpdates(
+            UpdateSources(
                 parts.dispatcher.crashes,
                 parts.routing_state.leaving_servers,
                 parts.routing_state.limits,
@@ -89,7 +89,7 @@
             clock,
         )
         self._news_seen = routers_pb2.NewsMark()
-        self._board = Reader()
+        self._board = UpdateCursor()
         self._own_news = anyio.Event()
         parts.dispatcher.crashes.listeners.append(self._met)
         parts.routing_state.leaving_servers.listeners.append(self._met)
@@ -191,7 +191,7 @@
         self._no_board.record_success(address)
         self._parts_told = max(self._parts_told, told)
         self._board.took(reply.lifetime, request.word.news.mark)
-        self._news.hear(reply.news, address)
+        self._updates.merge(reply.news, address)
         self._news_seen = reply.news.mark
         for heard in reply.words:
             self._hear(heard)
@@ -204,7 +204,7 @@
         word = self._word()
         sent_parts = self._parts.dispatcher.sent_parts
         word.parts.extend(_parts_words(sent_parts.since(self._parts_told)))
-        word.news.CopyFrom(self._news.since(self._board.mark))
+        word.news.CopyFrom(self._updates.since(self._board.mark))
         return routers_pb2.BoardRequest(
             word=word,
             seen=self._seen,
@@ -217,13 +217,13 @@
     async def _talk(self, address: str) -> None:
         sent_parts = self._parts.dispatcher.sent_parts
         told = sent_parts.count
-        reader = Reader()
+        reader = UpdateCursor()
         with self._talking[address]:
             while True:
                 word = self._word()
                 word.parts.extend(_parts_words(sent_parts.since(told)))
                 told = sent_parts.count
-                word.news.CopyFrom(self._news.since(reader.mark))
+                word.news.CopyFrom(self._updates.since(reader.mark))
                 try:
                     reply = await self._peers.call(
                         address, rpcs.WORD, word, self._clock.now_s() + REPLY_S
@@ -282,7 +282,7 @@
         if word.leaving:
             self._leaving.add(word.lifetime)
         self._lanes[word.lifetime] = (self._clock.now_s(), tuple(word.lanes))
-        self._news.hear(word.news, word.address)
+        self._updates.merge(word.news, word.address)
         for sent in word.parts:
             backend = self._parts.dispatcher.backends.find(sent.server)
             if backend is not None:
--- a/packages/fleet/src/endivesaddle/fleet/routes/news.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/peer_updates.py
@@ -21,7 +21,7 @@
 next word."""
 
 
-class NewsSources(NamedTuple):
+class UpdateSources(NamedTuple):
     """What one instance believes that it tells others, and takes from them."""
 
     crashes: CrashRecords
@@ -29,10 +29,10 @@
     limits: AdvertisedLimits
 
 
-class News:
+class PeerUpdates:
     """What one instance knows, as it tells it to others and hears it from them."""
 
-    def __init__(self, sources: NewsSources, clock: Clock) -> None:
+    def __init__(self, sources: UpdateSources, clock: Clock) -> None:
         """Tell what the sources hold, and add to them."""
         self._crashes = sources.crashes
         self._left = sources.left
@@ -62,7 +62,7 @@
         news.mark.limits = self._limits.count
         return news
 
-    def hear(self, news: routers_pb2.News, source: str) -> None:
+    def merge(self, news: routers_pb2.News, source: str) -> None:
         """Take in what another instance told."""
         now_unix_s = self._clock.now_s()
         before = self._counts()
@@ -112,7 +112,7 @@
             )
 
 
-class Reader:
+class UpdateCursor:
     """How far one other instance has been told; its next life is told all anew."""
 
     def __init__(self) -> None:
