--- a/features/subjects/cut_router.py
+++ b/features/subjects/cut_router.py
@@ -15,7 +15,7 @@
 from endivesaddle.fleet.routes.failover_store import FailoverStore
 from endivesaddle.fleet.routes.grant_group import AllocatorContext
 from endivesaddle.fleet.routes.instance_directory import ROUTER, Instance, InstanceDirectory
-from endivesaddle.fleet.routes.neighbours import NeighbourParts, Neighbours
+from endivesaddle.fleet.routes.peer_routers import PeerRouterParts, PeerRouters
 from endivesaddle.fleet.routes.prepaid_pools import PrepaidPools, PrepaidPoolsParts
 from endivesaddle.fleet.routes.remote_store import answer_store
 from endivesaddle.fleet.routes.routing_state import RoutingState, StoreStatus
@@ -108,8 +108,8 @@
             )
         )
         self.dispatcher = Dispatcher(ForwardSettings(), self.routing_state, clock, name)
-        self._neighbours = Neighbours(
-            NeighbourParts(
+        self._peer_routers = PeerRouters(
+            PeerRouterParts(
                 self.routing_state,
                 self.store_status,
                 self.dispatcher,
@@ -135,12 +135,12 @@
         self.routing_state.declare(Declarations(1, (), (), (account,)), b'', 'test')
         self.store_status.answered()
         handlers = Handlers()
-        self._neighbours.register(handlers)
+        self._peer_routers.register(handlers)
         self.allocator.register(handlers)
         self.pools.register(handlers)
         answer_store(handlers, self.cut, self._clock)
         self._net.serve(self.address, handlers)
-        parts = (self.store, self.directory, self.allocator, self.pools, self._neighbours)
+        parts = (self.store, self.directory, self.allocator, self.pools, self._peer_routers)
         tasks = (*parts, self._store_watcher, self._crashes)
         self._tasks = [asyncio.ensure_future(part.run()) for part in tasks]
         self._tasks.append(asyncio.ensure_future(self._tend()))
--- a/features/subjects/news_fleet.py
+++ b/features/subjects/news_fleet.py
@@ -11,7 +11,7 @@
 from endivesaddle.fleet.routes.declaration_index import DeclarationIndex
 from endivesaddle.fleet.routes.declared import Declarations
 from endivesaddle.fleet.routes.leaving_servers import LeavingIncarnation
-from endivesaddle.fleet.routes.neighbours import NeighbourParts, Neighbours
+from endivesaddle.fleet.routes.peer_routers import PeerRouterParts, PeerRouters
 from endivesaddle.fleet.routes.routing_state import RoutingState, StoreStatus
 from endivesaddle.fleet.routing.dispatcher import Dispatcher
 from endivesaddle.fleet.routing.forward_settings import ForwardSettings
@@ -53,13 +53,13 @@
         store_status.answered()
         others = {other: address for other, address in addresses.items() if other != name}
         dispatcher = Dispatcher(ForwardSettings(), self.routing_state, clock, name)
-        parts = NeighbourParts(
+        parts = PeerRouterParts(
             self.routing_state, store_status, dispatcher, FixedRoster(others), NoDocuments(), ()
         )
         address = addresses[name]
-        self.neighbours = Neighbours(parts, net.peers(address), clock, name, address)
+        self.peer_routers = PeerRouters(parts, net.peers(address), clock, name, address)
         handlers = Handlers()
-        self.neighbours.register(handlers)
+        self.peer_routers.register(handlers)
         net.serve(address, handlers)
 
 
@@ -124,7 +124,7 @@
         for number in range(routers):
             router = NewsRouter(number, addresses, self._net)
             self._routers.append(router)
-            asyncio.ensure_future(router.neighbours.run())
+            asyncio.ensure_future(router.peer_routers.run())
         await anyio.sleep(START_S)
         self._asked = 0
 
--- a/packages/daemon/src/endivesaddle/daemon/forwarder.py
+++ b/packages/daemon/src/endivesaddle/daemon/forwarder.py
@@ -23,7 +23,7 @@
 from endivesaddle.fleet.routes.call_times import TimedPeers
 from endivesaddle.fleet.routes.desks import SidecarDesks
 from endivesaddle.fleet.routes.loop_lag import LoopLag
-from endivesaddle.fleet.routes.neighbours import NeighbourParts, Neighbours
+from endivesaddle.fleet.routes.peer_routers import PeerRouterParts, PeerRouters
 from endivesaddle.fleet.routes.remote_store import answer_store
 from endivesaddle.fleet.routes.running import Runner
 from endivesaddle.fleet.routes.store_watch import StoreWatcher
@@ -54,8 +54,8 @@
         peers = TimedPeers(GrpcPeers(settings.links, clock), clock)
         self.parts = decisions(settings, ports, peers, clock)
         self.links = ForwardClient(ConnectionPool(), ports.header_names, clock)
-        self.neighbours = Neighbours(
-            NeighbourParts(*self.parts[1:5], ports.decoder, place.seeds),
+        self.peer_routers = PeerRouters(
+            PeerRouterParts(*self.parts[1:5], ports.decoder, place.seeds),
             peers,
             clock,
             place.lifetime,
@@ -70,7 +70,7 @@
         self._ports = ports
         self._clock = clock
         self._loop_lag = LoopLag(clock)
-        self._stopping = Stopping(self.neighbours.others_stay)
+        self._stopping = Stopping(self.peer_routers.others_stay)
         parts = self.parts
         self._store_watcher = StoreWatcher(
             parts.store, ports.decoder, parts.routing_state, clock, parts.store_status
@@ -94,7 +94,7 @@
     async def run(self) -> None:
         """Serve until a signal says stop, then end what is open."""
         handlers = Handlers()
-        self.neighbours.register(handlers)
+        self.peer_routers.register(handlers)
         self.parts.allocator.register(handlers)
         self.parts.pools.register(handlers)
         answer_store(handlers, self.parts.store.direct, self._clock)
@@ -153,7 +153,7 @@
             self._store_watcher.run,
             self.parts.store.run,
             self.parts.directory.run,
-            self.neighbours.run,
+            self.peer_routers.run,
             self.parts.allocator.run,
             self.parts.pools.run,
             self._desks.run,
@@ -196,7 +196,7 @@
         end_unix_s = self._clock.now_s() + self._settings.place.stop_within_s
         end_unix_s -= RELEASE_S + SETTLED_S
         self._stopping.leaving = True
-        self.neighbours.leaving = True
+        self.peer_routers.leaving = True
         await anyio.sleep(REFUSING_S)
         self._stopping.refusing = True
         # At once and not at the end alone: a slow store takes a third of a second for a write,
--- a/packages/fleet/src/endivesaddle/fleet/routes/neighbours.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/peer_routers.py
@@ -52,7 +52,7 @@
 """A neighbour's loads are forgotten after this."""
 
 
-class NeighbourParts(NamedTuple):
+class PeerRouterParts(NamedTuple):
     """What a router has to tell and to learn."""
 
     routing_state: RoutingState
@@ -63,11 +63,11 @@
     seeds: tuple[str, ...]
 
 
-class Neighbours:
+class PeerRouters:
     """This router's talks with all others."""
 
     def __init__(
-        self, parts: NeighbourParts, peers: Peers, clock: Clock, lifetime: str, address: str
+        self, parts: PeerRouterParts, peers: Peers, clock: Clock, lifetime: str, address: str
     ) -> None:
         """Talk as ``lifetime``, reached at ``address``."""
         self._parts = parts
