--- a/features/subjects/memory_sidecar.py
+++ b/features/subjects/memory_sidecar.py
@@ -4,7 +4,6 @@
 
 from endivesaddle.fleet.clock import LoopClock
 from endivesaddle.fleet.ports import Handlers
-from endivesaddle.fleet.routes.board import Board
 from endivesaddle.fleet.routes.instance_directory import (
     SIDECAR,
     SIDECAR_LEASE_S,
@@ -12,6 +11,7 @@
     InstanceEntry,
 )
 from endivesaddle.fleet.routes.remote_store import answer_store
+from endivesaddle.fleet.routes.report_aggregator import ReportAggregator
 from endivesaddle.fleet.routes.shared_polls import SharedPolls
 from endivesaddle.stand_ins.memory_peers import MemoryNet
 from endivesaddle.stand_ins.memory_store import MemoryStore
@@ -33,7 +33,7 @@
         """Serve, and enter it into the store."""
         handlers = Handlers()
         answer_store(handlers, self._polls, self._clock)
-        Board(self._clock, self._name).register(handlers)
+        ReportAggregator(self._clock, self._name).register(handlers)
         self._net.serve(self._address, handlers)
         self._polling = asyncio.ensure_future(self._polls.run())
         own = Instance(SIDECAR, self._name, self._address, 'porto-a')
--- a/features/subjects/news_fleet.py
+++ b/features/subjects/news_fleet.py
@@ -7,11 +7,11 @@
 
 from endivesaddle.fleet.clock import LoopClock
 from endivesaddle.fleet.ports import Handlers
-from endivesaddle.fleet.routes.board import Board
 from endivesaddle.fleet.routes.declaration_index import DeclarationIndex
 from endivesaddle.fleet.routes.declared import Declarations
 from endivesaddle.fleet.routes.leaving_servers import LeavingIncarnation
 from endivesaddle.fleet.routes.peer_routers import PeerRouterParts, PeerRouters
+from endivesaddle.fleet.routes.report_aggregator import ReportAggregator
 from endivesaddle.fleet.routes.routing_state import RoutingState, StoreStatus
 from endivesaddle.fleet.routing.dispatcher import Dispatcher
 from endivesaddle.fleet.routing.forward_settings import ForwardSettings
@@ -33,7 +33,7 @@
         """Know ``others`` and one sidecar."""
         self.others = others
         self.sidecars: tuple[str, ...] = (BOARD,)
-        self.boards = (BOARD,)
+        self.aggregators = (BOARD,)
         self.settled = True
 
     def note_call(self, lifetime: str, address: str) -> None:
@@ -109,7 +109,7 @@
         return self._clock.now_s()
 
     async def _start(self, routers: int) -> None:
-        board = Board(self._clock, 'board-1')
+        board = ReportAggregator(self._clock, 'board-1')
         handlers = Handlers()
         board.register(handlers)
         answer = handlers.unary[rpcs.BOARD.path]
--- a/features/subjects/store_relay.py
+++ b/features/subjects/store_relay.py
@@ -12,7 +12,6 @@
 from endivesaddle.fleet.errors import FleetError
 from endivesaddle.fleet.ports import Handlers, Stored
 from endivesaddle.fleet.routes.allocator import Allocator
-from endivesaddle.fleet.routes.board import Board
 from endivesaddle.fleet.routes.declared import RouteAccount, RouteServer
 from endivesaddle.fleet.routes.failover_store import SHARED, StoreCall
 from endivesaddle.fleet.routes.grant_group import AllocatorContext
@@ -25,6 +24,7 @@
     InstanceEntry,
 )
 from endivesaddle.fleet.routes.remote_store import RemoteStore, answer_store
+from endivesaddle.fleet.routes.report_aggregator import ReportAggregator
 from endivesaddle.fleet.routes.reservation import Reservation
 from endivesaddle.fleet.routing.backends import Backend, ForwardRoutingRequest
 from endivesaddle.fleet.routing.dispatcher import Placement
@@ -210,7 +210,7 @@
             AllocatorContext(name, address, self.store, self._clock, self.net.peers(address))
         )
         allocator.register(handlers)
-        Board(self._clock, name).register(handlers)
+        ReportAggregator(self._clock, name).register(handlers)
         task = asyncio.ensure_future(allocator.run())
         if number < len(self.allocators):
             self._keeping[number].cancel()
--- a/packages/daemon/src/endivesaddle/daemon/store_sidecar.py
+++ b/packages/daemon/src/endivesaddle/daemon/store_sidecar.py
@@ -15,7 +15,6 @@
 from endivesaddle.fleet.clock import MonotonicClock
 from endivesaddle.fleet.ports import Handlers
 from endivesaddle.fleet.routes.allocator import Allocator
-from endivesaddle.fleet.routes.board import Board
 from endivesaddle.fleet.routes.desks import answer_desk
 from endivesaddle.fleet.routes.grant_group import AllocatorContext
 from endivesaddle.fleet.routes.instance_directory import (
@@ -26,6 +25,7 @@
     InstanceEntry,
 )
 from endivesaddle.fleet.routes.remote_store import ForwardStore, answer_store
+from endivesaddle.fleet.routes.report_aggregator import ReportAggregator
 from endivesaddle.fleet.routes.shared_polls import SharedPolls
 from endivesaddle.fleet.routing.engine_desk import EngineDesk
 from endivesaddle.instances import GrpcPeers
@@ -101,6 +101,6 @@
         handlers = Handlers()
         answer_store(handlers, self._polls, self._clock)
         self._allocator.register(handlers)
-        Board(self._clock, self._settings.lifetime).register(handlers)
+        ReportAggregator(self._clock, self._settings.lifetime).register(handlers)
         answer_desk(handlers, EngineDesk(), self._clock)
         return handlers
--- a/packages/fleet/src/endivesaddle/fleet/routes/instance_directory.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/instance_directory.py
@@ -130,7 +130,7 @@
         return self._near if len(self.others) + 1 > FEW_ROUTERS else ()
 
     @property
-    def boards(self) -> tuple[str, ...]:
+    def aggregators(self) -> tuple[str, ...]:
         """Sidecars that have a board for all routers, the same order for all; none for few."""
         return self._all if len(self.others) + 1 > FEW_ROUTERS else ()
 
--- a/packages/fleet/src/endivesaddle/fleet/routes/peer_routers.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/peer_routers.py
@@ -36,14 +36,14 @@
 FEW_ROUTERS = 8
 """With more neighbours than this, large prompts are not told at once: it would cost more talks
 than a router may spend on control."""
-BOARD_S = 0.5
+AGGREGATOR_POLL_S = 0.5
 """A look at the board waits so long for news."""
 GATHER_S = 0.05
 """What this router meets within this is told together."""
-BOARDS_PER_S = 40.0
+AGGREGATOR_POLLS_PER_S = 40.0
 """Looks of all routers in a second that one sidecar is asked for."""
-NO_BOARD_S = 2.0
-LONGEST_NO_BOARD_S = 8.0
+AVOID_S = 2.0
+LONGEST_AVOID_S = 8.0
 """A sidecar whose board did not answer is passed over for so long, at first and at most."""
 REPLY_S = 0.4
 QUIET_S = 1.0
@@ -76,10 +76,10 @@
         self._lifetime = lifetime
         self._address = address
         self.leaving = False
-        self._no_board = AddressBackoff(clock, NO_BOARD_S, LONGEST_NO_BOARD_S)
+        self._avoided_aggregators = AddressBackoff(clock, AVOID_S, LONGEST_AVOID_S)
         self._seen = 0
         self._parts_told = parts.dispatcher.sent_parts.count
-        self._seen_board = ''
+        self._seen_aggregator = ''
         self._updates = PeerUpdates(
             UpdateSources(
                 parts.dispatcher.crashes,
@@ -89,7 +89,7 @@
             clock,
         )
         self._news_seen = routers_pb2.NewsMark()
-        self._board = UpdateCursor()
+        self._aggregator_cursor = UpdateCursor()
         self._own_news = anyio.Event()
         parts.dispatcher.crashes.listeners.append(self._met)
         parts.routing_state.leaving_servers.listeners.append(self._met)
@@ -112,8 +112,8 @@
     async def run(self) -> None:
         """Talk with each router that is known, until cancelled."""
         async with anyio.create_task_group() as group:
-            group.start_soon(self._read_board)
-            group.start_soon(self._tell_board)
+            group.start_soon(self._poll_aggregator)
+            group.start_soon(self._notify_aggregator)
             while True:
                 addresses = self._addresses()
                 for address in addresses - self._talking.keys():
@@ -133,7 +133,7 @@
         away = (
             self._parts.store_status.unavailable or self._parts.routing_state.declarations is None
         )
-        if self._board_address() and not away:
+        if self._aggregator_address() and not away:
             return set()
         addresses = set(self._parts.directory.others.values())
         if not addresses or self._parts.routing_state.declarations is None:
@@ -147,26 +147,26 @@
             self._address, directory.others.values(), directory.settled
         )
 
-    async def _read_board(self) -> None:
+    async def _poll_aggregator(self) -> None:
         """With many routers, leave words on a sidecar's board instead of talking with each."""
         look_unix_s = 0.0
         while True:
             now_unix_s = self._clock.now_s()
             if look_unix_s <= now_unix_s:
                 routers = len(self._parts.directory.others) + 1
-                look_unix_s = now_unix_s + max(BOARD_S, routers / BOARDS_PER_S)
+                look_unix_s = now_unix_s + max(AGGREGATOR_POLL_S, routers / AGGREGATOR_POLLS_PER_S)
             wait_s = look_unix_s - now_unix_s
-            address = self._board_address()
+            address = self._aggregator_address()
             if not address or not await self._exchange(address, wait_s):
-                await anyio.sleep(BOARD_S)
+                await anyio.sleep(AGGREGATOR_POLL_S)
 
-    async def _tell_board(self) -> None:
+    async def _notify_aggregator(self) -> None:
         """Tell at once what this router met itself: others act on it within a second."""
         while True:
             await self._own_news.wait()
             await anyio.sleep(GATHER_S)
             self._own_news = anyio.Event()
-            address = self._board_address()
+            address = self._aggregator_address()
             if address:
                 await self._exchange(address, 0)
 
@@ -174,41 +174,48 @@
         if source == ANSWER:
             self._own_news.set()
 
-    def _board_address(self) -> str:
-        return next((one for one in self._parts.directory.boards if self._no_board.usable(one)), '')
+    def _aggregator_address(self) -> str:
+        return next(
+            (
+                one
+                for one in self._parts.directory.aggregators
+                if self._avoided_aggregators.usable(one)
+            ),
+            '',
+        )
 
     async def _exchange(self, address: str, wait_s: float) -> bool:
         """Leave a word, and take those of others, waiting for news; False without an answer."""
         told = self._parts.dispatcher.sent_parts.count
-        request = self._board_request(wait_s)
+        request = self._aggregator_request(wait_s)
         deadline_unix_s = self._clock.now_s() + wait_s + REPLY_S
         try:
             reply = await self._peers.call(address, rpcs.BOARD, request, deadline_unix_s)
         except (FleetError, TimeoutError) as error:
             sidecar_events.BOARD_LOST.log(sidecar=address, reason=str(error))
-            self._no_board.record_failure(address)
+            self._avoided_aggregators.record_failure(address)
             return False
-        self._no_board.record_success(address)
+        self._avoided_aggregators.record_success(address)
         self._parts_told = max(self._parts_told, told)
-        self._board.took(reply.lifetime, request.word.news.mark)
+        self._aggregator_cursor.took(reply.lifetime, request.word.news.mark)
         self._updates.merge(reply.news, address)
         self._news_seen = reply.news.mark
         for heard in reply.words:
             self._hear(heard)
         self._sum_up()
         self._seen = reply.number
-        self._seen_board = reply.lifetime
+        self._seen_aggregator = reply.lifetime
         return True
 
-    def _board_request(self, wait_s: float) -> routers_pb2.BoardRequest:
+    def _aggregator_request(self, wait_s: float) -> routers_pb2.BoardRequest:
         word = self._word()
         sent_parts = self._parts.dispatcher.sent_parts
         word.parts.extend(_parts_words(sent_parts.since(self._parts_told)))
-        word.news.CopyFrom(self._updates.since(self._board.mark))
+        word.news.CopyFrom(self._updates.since(self._aggregator_cursor.mark))
         return routers_pb2.BoardRequest(
             word=word,
             seen=self._seen,
-            board=self._seen_board,
+            board=self._seen_aggregator,
             news_seen=self._news_seen,
             wait_s=wait_s,
             news_only=not wait_s,
--- a/packages/fleet/src/endivesaddle/fleet/routes/board.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/report_aggregator.py
@@ -38,7 +38,7 @@
     until_unix_s: float
 
 
-class Board:
+class ReportAggregator:
     """The words that routers left lately."""
 
     def __init__(self, clock: Clock, lifetime: str) -> None:
