--- a/features/steps/desks_steps.py
+++ b/features/steps/admission_steps.py
@@ -1,16 +1,16 @@
-"""Steps of desks.feature."""
+"""Steps of admission.feature."""
 
 from typing import Any
 
 from behave import given, then, when
 
-from subjects.desks import ToldDesks
+from subjects.admission import ReportedAdmission
 
 
 @given('a router before {engines:d} engines with sidecars')
 def start(context: Any, engines: int) -> None:
     """Start them."""
-    context.told = ToldDesks(engines)
+    context.told = ReportedAdmission(engines)
     context.add_cleanup(context.told.close)
 
 
@@ -41,7 +41,7 @@
 @then('the sidecars were told {times:d} times at once')
 def told(context: Any, times: int) -> None:
     """Count the words that did not wait for the next one."""
-    assert context.runs.desks.soon_count == times, context.runs.desks.soon_count
+    assert context.runs.admission.soon_count == times, context.runs.admission.soon_count
 
 
 @then('no sidecar counts anything of it')
--- a/features/steps/placing_steps.py
+++ b/features/steps/placing_steps.py
@@ -13,7 +13,7 @@
 )
 from subjects.placing import PlacingLoad
 from subjects.placing_bursts import BurstLoad
-from subjects.placing_desks import DeskLoad
+from subjects.placing_desks import AdmissionLoad
 
 PER_S = 30
 FAILING_S = 5
@@ -92,7 +92,7 @@
     """Replay them with and without sidecars beside the engines."""
     context.asked = {}
     for asked in (False, True):
-        load = DeskLoad(engines, routers, asked)
+        load = AdmissionLoad(engines, routers, asked)
         load.play(per_s, seconds)
         context.asked[asked] = load
 
--- a/features/subjects/desks.py
+++ b/features/subjects/admission.py
@@ -8,9 +8,9 @@
 from endivesaddle.fleet.clock import LoopClock
 from endivesaddle.fleet.ports import Handlers
 from endivesaddle.fleet.routes.declared import RouteServer
-from endivesaddle.fleet.routes.desks import SidecarDesks, answer_desk
+from endivesaddle.fleet.routes.sidecar_admission import SidecarAdmission, serve_admission
 from endivesaddle.fleet.routing.backends import Backends, ForwardRoutingRequest
-from endivesaddle.fleet.routing.engine_desk import EngineDesk, Load
+from endivesaddle.fleet.routing.engine_admission import EngineAdmission, Load
 from endivesaddle.stand_ins.memory_peers import MemoryNet
 from endivesaddle.wire import rpcs
 from subjects.links_loop import ScenarioLoop
@@ -28,7 +28,7 @@
     sidecars: tuple[str, ...]
 
 
-class ToldDesks:
+class ReportedAdmission:
     """A router and the sidecars of its engines, on one loop in virtual time."""
 
     def __init__(self, engines: int) -> None:
@@ -40,7 +40,7 @@
             RouteServer(f'life-{number}', 'engines', f'10.0.1.{number}:8', 'a', 64)
             for number in range(engines)
         ]
-        self.desks = [EngineDesk() for _ in range(engines)]
+        self.admissions = [EngineAdmission() for _ in range(engines)]
         self.heard_unix_s: dict[str, float] = {}
         self.seconds = 0.0
         self._carried = 0
@@ -74,9 +74,9 @@
 
     async def _start(self) -> None:
         addresses = []
-        for desk, server in zip(self.desks, self._servers, strict=True):
+        for admission, server in zip(self.admissions, self._servers, strict=True):
             handlers = Handlers()
-            answer_desk(handlers, desk, self._clock)
+            serve_admission(handlers, admission, self._clock)
             address = server.address.replace(':8', ':7')
             self._net.serve(address, handlers)
             addresses.append(address)
@@ -84,7 +84,7 @@
         self.backends = Backends()
         peers = self._net.peers('10.0.0.1:1')
         directory = Sidecars(tuple(addresses))
-        self.router = SidecarDesks(self.backends, directory, peers, self._clock, ROUTER)
+        self.router = SidecarAdmission(self.backends, directory, peers, self._clock, ROUTER)
         self._task = asyncio.ensure_future(self.router.run())
 
     async def _observe(self, moment: object) -> None:
@@ -118,4 +118,4 @@
         return self._clock.now_s() - min(self.heard_unix_s.values())
 
     async def _counted(self) -> list[Load]:
-        return [desk.others('nobody', self._clock.now_s()) for desk in self.desks]
+        return [admission.others('nobody', self._clock.now_s()) for admission in self.admissions]
--- a/features/subjects/forward_runs.py
+++ b/features/subjects/forward_runs.py
@@ -30,7 +30,7 @@
 from endivesaddle.fleet.routes.running import Runner
 from endivesaddle.fleet.routing.backends import Backend
 from endivesaddle.fleet.routing.dispatcher import Dispatcher
-from endivesaddle.fleet.routing.engine_selection import NoDesks
+from endivesaddle.fleet.routing.engine_selection import NoAdmission
 from endivesaddle.fleet.routing.forward_settings import ForwardSettings
 from endivesaddle.fleet.sentinels import Refusal
 from endivesaddle.stand_ins.memory_peers import MemoryNet
@@ -230,7 +230,7 @@
         self.finished = True
 
 
-class CountingDesks(NoDesks):
+class CountingAdmission(NoAdmission):
     """Sidecars beside engines that count what they are told at once."""
 
     def __init__(self) -> None:
@@ -349,8 +349,8 @@
             )
         )
         dispatcher = Dispatcher(ForwardSettings(), self._routing_state, self._clock, 'one')
-        self.desks = CountingDesks()
-        dispatcher.desks = self.desks
+        self.admission = CountingAdmission()
+        dispatcher.admission = self.admission
         self.runner = Runner(dispatcher, self.pools, self.links, self._clock)
 
     async def _request(self) -> None:
--- a/features/subjects/placing_desks.py
+++ b/features/subjects/placing_desks.py
@@ -8,8 +8,8 @@
 
 from endivesaddle.fleet.routes.declared import RouteServer
 from endivesaddle.fleet.routing.backends import Backend, ForwardRoutingRequest
-from endivesaddle.fleet.routing.engine_desk import EngineDesk, Load, Word
-from endivesaddle.fleet.routing.engine_selection import Desks, NoDesks, select_engine
+from endivesaddle.fleet.routing.engine_admission import EngineAdmission, Load, LoadReport
+from endivesaddle.fleet.routing.engine_selection import Admission, NoAdmission, select_engine
 from endivesaddle.fleet.routing.placement_policies import PlacementContext, placement_policies
 from subjects.links_loop import ScenarioLoop
 
@@ -24,46 +24,50 @@
 class Told:
     """One router's way to the sidecars beside the engines."""
 
-    def __init__(self, load: 'DeskLoad', router: int) -> None:
+    def __init__(self, load: 'AdmissionLoad', router: int) -> None:
         """Ask for ``router``."""
         self._load = load
         self._router = router
 
-    async def ask(self, backend: Backend, tokens: int, most_tokens: int) -> bool:
-        """Ask the desk of the engine."""
-        desk = self._load.desks[backend.server.lifetime]
-        taken_up = desk.ask(self._word(backend), tokens, most_tokens, self._load.now_unix_s)
-        self._hear(desk, backend)
+    async def admit(self, backend: Backend, tokens: int, most_tokens: int) -> bool:
+        """Ask the admission of the engine."""
+        admission = self._load.admissions[backend.server.lifetime]
+        taken_up = admission.admit(self._word(backend), tokens, most_tokens, self._load.now_unix_s)
+        self._hear(admission, backend)
         return taken_up
 
     def changed(self, backend: Backend, soon: bool) -> None:
-        """Tell the desk of the engine."""
-        self._load.desks[backend.server.lifetime].tell(self._word(backend), self._load.now_unix_s)
+        """Tell the admission of the engine."""
+        self._load.admissions[backend.server.lifetime].report(
+            self._word(backend), self._load.now_unix_s
+        )
 
-    def _hear(self, desk: EngineDesk, backend: Backend) -> None:
-        others = desk.others(str(self._router), self._load.now_unix_s)
+    def _hear(self, admission: EngineAdmission, backend: Backend) -> None:
+        others = admission.others(str(self._router), self._load.now_unix_s)
         backend.apply_sidecar_report(others.in_flight, others.reading_tokens, self._load.now_unix_s)
 
-    def _word(self, backend: Backend) -> Word:
+    def _word(self, backend: Backend) -> LoadReport:
         self._load.words += 1
         load = Load(backend.own_prefilling_tokens, backend.own_in_flight)
-        return Word(str(self._router), self._load.words, load)
+        return LoadReport(str(self._router), self._load.words, load)
 
 
-class DeskLoad:
+class AdmissionLoad:
     """Engines that read one prompt after the other, and routers with lanes of their own."""
 
     def __init__(self, engines: int, routers: int, asked: bool) -> None:
         """Start idle; ``asked`` puts sidecars beside the engines."""
         servers = [RouteServer(f'life-{n}', 'engines', f'{n}:1', 'a', 64) for n in range(engines)]
-        self.desks = {server.lifetime: EngineDesk() for server in servers}
+        self.admissions = {server.lifetime: EngineAdmission() for server in servers}
         self.words = 0
         self.now_unix_s = 0.0
         self.late = 0
         self.count = 0
-        self._free_unix_s = dict.fromkeys(self.desks, 0.0)
+        self._free_unix_s = dict.fromkeys(self.admissions, 0.0)
         self._routers = [[Backend(server) for server in servers] for _ in range(routers)]
-        self._ways: list[Desks] = [Told(self, n) if asked else NoDesks() for n in range(routers)]
+        self._ways: list[Admission] = [
+            Told(self, n) if asked else NoAdmission() for n in range(routers)
+        ]
         self._waiting: list[tuple[float, int, Backend, ForwardRoutingRequest]] = []
         self._talk_unix_s = 0.0
 
@@ -107,7 +111,7 @@
         if self.now_unix_s < self._talk_unix_s:
             return
         self._talk_unix_s = self.now_unix_s + TALK_S
-        for number, _ in enumerate(self.desks):
+        for number, _ in enumerate(self.admissions):
             backends = [backends[number] for backends in self._routers]
             requests = sum(backend.own_in_flight for backend in backends)
             tokens = sum(backend.own_prefilling_tokens for backend in backends)
--- a/features/subjects/slow_own_link.py
+++ b/features/subjects/slow_own_link.py
@@ -10,7 +10,6 @@
 from endivesaddle.fleet.routes.allocator import Allocator
 from endivesaddle.fleet.routes.allocator_choice import AllocatorChoice
 from endivesaddle.fleet.routes.declared import RouteAccount
-from endivesaddle.fleet.routes.desks import answer_desk
 from endivesaddle.fleet.routes.grant_group import AllocatorContext, group_of
 from endivesaddle.fleet.routes.instance_directory import (
     SIDECAR,
@@ -18,7 +17,8 @@
     Instance,
     InstanceEntry,
 )
-from endivesaddle.fleet.routing.engine_desk import EngineDesk
+from endivesaddle.fleet.routes.sidecar_admission import serve_admission
+from endivesaddle.fleet.routing.engine_admission import EngineAdmission
 from endivesaddle.fleet.sentinels import Refusal
 from endivesaddle.stand_ins.memory_peers import MemoryNet, MemoryPeers
 from endivesaddle.wire import rpcs
@@ -102,7 +102,7 @@
         handlers = Handlers()
         allocator = Allocator(AllocatorContext(name, address, self._store, self._clock))
         allocator.register(handlers)
-        answer_desk(handlers, EngineDesk(), self._clock)
+        serve_admission(handlers, EngineAdmission(), self._clock)
         self._net.serve(address, handlers)
         self._running.append(asyncio.ensure_future(allocator.run()))
         own = Instance(SIDECAR, name, address, 'porto-a')
--- a/packages/daemon/src/endivesaddle/daemon/forwarder.py
+++ b/packages/daemon/src/endivesaddle/daemon/forwarder.py
@@ -21,11 +21,11 @@
 from endivesaddle.fleet.clock import MonotonicClock
 from endivesaddle.fleet.ports import Handlers
 from endivesaddle.fleet.routes.call_times import TimedPeers
-from endivesaddle.fleet.routes.desks import SidecarDesks
 from endivesaddle.fleet.routes.loop_lag import LoopLag
 from endivesaddle.fleet.routes.peer_routers import PeerRouterParts, PeerRouters
 from endivesaddle.fleet.routes.remote_store import answer_store
 from endivesaddle.fleet.routes.running import Runner
+from endivesaddle.fleet.routes.sidecar_admission import SidecarAdmission
 from endivesaddle.fleet.routes.store_watch import StoreWatcher
 from endivesaddle.fleet.routes.stored_crashes import StoredCrashes
 from endivesaddle.instances import GrpcPeers
@@ -62,10 +62,10 @@
             place.listen,
         )
         self._call_times = peers.times
-        self._desks = SidecarDesks(
+        self._admission = SidecarAdmission(
             self.parts.dispatcher.backends, self.parts.directory, peers, clock, place.lifetime
         )
-        self.parts.dispatcher.desks = self._desks
+        self.parts.dispatcher.admission = self._admission
         self._settings = settings
         self._ports = ports
         self._clock = clock
@@ -156,7 +156,7 @@
             self.peer_routers.run,
             self.parts.allocator.run,
             self.parts.pools.run,
-            self._desks.run,
+            self._admission.run,
             self._crashes.run,
             self._loop_lag.run,
             self._tend,
--- a/packages/daemon/src/endivesaddle/daemon/store_sidecar.py
+++ b/packages/daemon/src/endivesaddle/daemon/store_sidecar.py
@@ -15,7 +15,6 @@
 from endivesaddle.fleet.clock import MonotonicClock
 from endivesaddle.fleet.ports import Handlers
 from endivesaddle.fleet.routes.allocator import Allocator
-from endivesaddle.fleet.routes.desks import answer_desk
 from endivesaddle.fleet.routes.grant_group import AllocatorContext
 from endivesaddle.fleet.routes.instance_directory import (
     SIDECAR,
@@ -27,7 +26,8 @@
 from endivesaddle.fleet.routes.remote_store import ForwardStore, answer_store
 from endivesaddle.fleet.routes.report_aggregator import ReportAggregator
 from endivesaddle.fleet.routes.shared_polls import SharedPolls
-from endivesaddle.fleet.routing.engine_desk import EngineDesk
+from endivesaddle.fleet.routes.sidecar_admission import serve_admission
+from endivesaddle.fleet.routing.engine_admission import EngineAdmission
 from endivesaddle.instances import GrpcPeers
 from endivesaddle.instances.server import serve as serve_calls
 from endivesaddle.instances.settings import InstancesSettings
@@ -102,5 +102,5 @@
         answer_store(handlers, self._polls, self._clock)
         self._allocator.register(handlers)
         ReportAggregator(self._clock, self._settings.lifetime).register(handlers)
-        answer_desk(handlers, EngineDesk(), self._clock)
+        serve_admission(handlers, EngineAdmission(), self._clock)
         return handlers
--- a/packages/fleet/src/endivesaddle/fleet/routes/desks.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/sidecar_admission.py
@@ -12,7 +12,7 @@
 from endivesaddle.fleet.routes.address_backoff import AddressBackoff
 from endivesaddle.fleet.routes.instance_directory import InstanceDirectory
 from endivesaddle.fleet.routing.backends import Backend, Backends
-from endivesaddle.fleet.routing.engine_desk import EngineDesk, Load, Word
+from endivesaddle.fleet.routing.engine_admission import EngineAdmission, Load, LoadReport
 from endivesaddle.wire import rpcs
 from endivesaddle.wire.routers_pb2 import EnterReply, EnterRequest
 
@@ -27,7 +27,7 @@
 """All else is told so often, so that a sidecar may forget routers that are gone."""
 
 
-class SidecarDesks:
+class SidecarAdmission:
     """One router's words to the sidecars beside engines; one task tells what changed."""
 
     def __init__(
@@ -52,7 +52,7 @@
         self._soon: dict[str, Backend] = {}
         self._any_soon = anyio.Event()
 
-    async def ask(self, backend: Backend, tokens: int, most_tokens: int) -> bool:
+    async def admit(self, backend: Backend, tokens: int, most_tokens: int) -> bool:
         """Ask for a place for a prompt; True where it may go there, or nobody could be asked."""
         address = self._beside(backend)
         if not address:
@@ -137,18 +137,18 @@
     return address.rpartition(':')[0]
 
 
-def answer_desk(handlers: Handlers, desk: EngineDesk, clock: Clock) -> None:
+def serve_admission(handlers: Handlers, admission: EngineAdmission, clock: Clock) -> None:
     """Answer routers for the engine beside this instance."""
 
-    async def enter(asked: EnterRequest) -> EnterReply:  # noqa: WPS430 (bound to the desk)
+    async def enter(asked: EnterRequest) -> EnterReply:  # noqa: WPS430 (bound to the admission)
         now_unix_s = clock.now_s()
-        word = Word(asked.lifetime, asked.number, Load(asked.reading_tokens, asked.in_flight))
+        word = LoadReport(asked.lifetime, asked.number, Load(asked.reading_tokens, asked.in_flight))
         taken_up = False
         if asked.asked_tokens:
-            taken_up = desk.ask(word, asked.asked_tokens, asked.most_tokens, now_unix_s)
+            taken_up = admission.admit(word, asked.asked_tokens, asked.most_tokens, now_unix_s)
         else:
-            desk.tell(word, now_unix_s)
-        others = desk.others(asked.lifetime, now_unix_s)
+            admission.report(word, now_unix_s)
+        others = admission.others(asked.lifetime, now_unix_s)
         return EnterReply(
             taken_up=taken_up, reading_tokens=others.reading_tokens, in_flight=others.in_flight
         )
--- a/packages/fleet/src/endivesaddle/fleet/routing/dispatcher.py
+++ b/packages/fleet/src/endivesaddle/fleet/routing/dispatcher.py
@@ -12,7 +12,12 @@
 from endivesaddle.fleet.routing.candidates import Candidates
 from endivesaddle.fleet.routing.cold_starts import ColdStartLimits
 from endivesaddle.fleet.routing.crash_records import CrashRecords
-from endivesaddle.fleet.routing.engine_selection import ASKED_TOKENS, Desks, NoDesks, select_engine
+from endivesaddle.fleet.routing.engine_selection import (
+    ASKED_TOKENS,
+    Admission,
+    NoAdmission,
+    select_engine,
+)
 from endivesaddle.fleet.routing.forward_settings import ForwardSettings
 from endivesaddle.fleet.routing.limit_shares import LimitShares
 from endivesaddle.fleet.routing.placement_policies import (
@@ -76,14 +81,14 @@
         if self._request.key not in self.backend.prefilling:
             return
         self.backend.first_event(self._request)
-        self._dispatcher.desks.changed(self.backend, soon=self.uncached_tokens >= ASKED_TOKENS)
+        self._dispatcher.admission.changed(self.backend, soon=self.uncached_tokens >= ASKED_TOKENS)
 
     def finish(self, success: bool) -> None:
         """Note that nothing is under way there any more."""
         read = self._request.key not in self.backend.prefilling
         self.backend.end_request(self._request)
         soon = not read and self.uncached_tokens >= ASKED_TOKENS
-        self._dispatcher.desks.changed(self.backend, soon=soon)
+        self._dispatcher.admission.changed(self.backend, soon=soon)
         self.backend.record_outcome(success, self._dispatcher.now_s())
 
     def mark_unreachable(self, process_ended: bool) -> None:
@@ -123,7 +128,7 @@
         )
         self.large_prompt_listeners: list[Callable[[], None]] = []
         self.counts: Counter[str] = Counter()
-        self.desks: Desks = NoDesks()
+        self.admission: Admission = NoAdmission()
         self.router_count = LEAST_ROUTERS
         self._settings = settings
         self._clock = clock
@@ -240,7 +245,7 @@
         while backends:
             left = context._replace(backends=backends)
             if context.engine and len(backends) > 1:
-                backend = await select_engine(left, policy, self.desks)
+                backend = await select_engine(left, policy, self.admission)
             else:
                 backend = policy(left)
             if self.send_limits.try_acquire(backend, self.now_s()):
--- a/packages/fleet/src/endivesaddle/fleet/routing/engine_desk.py
+++ b/packages/fleet/src/endivesaddle/fleet/routing/engine_admission.py
@@ -21,7 +21,7 @@
     in_flight: int
 
 
-class Word(NamedTuple):
+class LoadReport(NamedTuple):
     """One router's word: ``number`` grows within the router's life."""
 
     lifetime: str
@@ -32,19 +32,19 @@
 class _Heard(NamedTuple):
     """A router's newest word, and until when its prompts and its requests count."""
 
-    word: Word
+    word: LoadReport
     reading_until_unix_s: float
     until_unix_s: float
 
 
-class EngineDesk:
+class EngineAdmission:
     """The counts of one engine: decisions only, no input or output."""
 
     def __init__(self) -> None:
         """Start without routers."""
         self._heard: dict[str, _Heard] = {}
 
-    def tell(self, word: Word, now_unix_s: float) -> None:
+    def report(self, word: LoadReport, now_unix_s: float) -> None:
         """Take in what a router has under way; an older word changes nothing."""
         heard = self._heard.get(word.lifetime)
         if heard is None or heard.word.number < word.number:
@@ -62,11 +62,13 @@
             sum(heard.word.load.in_flight for heard in others),
         )
 
-    def ask(self, word: Word, asked_tokens: int, most_tokens: int, now_unix_s: float) -> bool:
+    def admit(
+        self, word: LoadReport, asked_tokens: int, most_tokens: int, now_unix_s: float
+    ) -> bool:
         """Take a prompt up, unless the others have more than ``most_tokens`` to be read."""
         taken_up = self.others(word.lifetime, now_unix_s).reading_tokens <= most_tokens
         if taken_up:
             load = Load(word.load.reading_tokens + asked_tokens, word.load.in_flight + 1)
             word = word._replace(load=load)
-        self.tell(word, now_unix_s)
+        self.report(word, now_unix_s)
         return taken_up
--- a/packages/fleet/src/endivesaddle/fleet/routing/engine_selection.py
+++ b/packages/fleet/src/endivesaddle/fleet/routing/engine_selection.py
@@ -17,10 +17,10 @@
 ANY_TOKENS = 1 << 40
 
 
-class Desks(Protocol):
+class Admission(Protocol):
     """The sidecars beside engines, as a router reaches them."""
 
-    async def ask(self, backend: Backend, tokens: int, most_tokens: int) -> bool:
+    async def admit(self, backend: Backend, tokens: int, most_tokens: int) -> bool:
         """Ask for a place for a prompt, and learn what the other routers have there.
 
         True where the prompt may go there, also where nobody could be asked.
@@ -31,10 +31,10 @@
         word."""
 
 
-class NoDesks:
+class NoAdmission:
     """No sidecar stands beside any engine."""
 
-    async def ask(self, backend: Backend, tokens: int, most_tokens: int) -> bool:
+    async def admit(self, backend: Backend, tokens: int, most_tokens: int) -> bool:
         """Take up any prompt."""
         return True
 
@@ -43,7 +43,7 @@
 
 
 async def select_engine(
-    context: PlacementContext, policy: PlacementPolicy, desks: Desks
+    context: PlacementContext, policy: PlacementPolicy, admission: Admission
 ) -> Backend:
     """Return the lane for a prompt.
 
@@ -56,6 +56,6 @@
         if unread < ASKED_TOKENS:
             break
         most_tokens = tolerated_tokens(context, backend) if asks_left else ANY_TOKENS
-        if await desks.ask(backend, unread, most_tokens):
+        if await admission.admit(backend, unread, most_tokens):
             break
     return backend
