--- a/features/subjects/budget_orders.py
+++ b/features/subjects/budget_orders.py
@@ -218,7 +218,7 @@
     order.count += 1
     before = order.fleet.sidecars[SERVERS[step.first % len(SERVERS)]]
     after = order.fleet.start_sidecar(before.member.server, order.count + 1)
-    after.floors.update(before.floors)
+    after.min_epochs.update(before.min_epochs)
 
 
 @ACTIONS.add('pause')
--- a/packages/daemon/src/endivesaddle/daemon/sidecar.py
+++ b/packages/daemon/src/endivesaddle/daemon/sidecar.py
@@ -12,7 +12,7 @@
 from endivesaddle.daemon import events
 from endivesaddle.daemon.node import Ports, State, run_all
 from endivesaddle.daemon.settings import InstanceSettings, LogSettings, ServerSettings
-from endivesaddle.fleet.budgets import floors
+from endivesaddle.fleet.budgets import min_epochs
 from endivesaddle.fleet.budgets.errors import BadRecord
 from endivesaddle.fleet.distribution import Distribution, DistributionSettings
 from endivesaddle.fleet.errors import StoreUnreachable
@@ -139,7 +139,7 @@
     while True:
         deadline_unix_s = ports.clock.now_s() + FLOORS_WITHIN_S
         try:
-            read = await floors.read_floors(ports.store, deadline_unix_s)
+            read = await min_epochs.read_min_epochs(ports.store, deadline_unix_s)
         except (StoreUnreachable, BadRecord) as error:
             events.FLOORS_UNREAD.log(error=str(error))
             await anyio.sleep(FLOORS_RETRY_S)
--- a/packages/fleet/src/endivesaddle/fleet/budgets/floors.py
+++ b/packages/fleet/src/endivesaddle/fleet/budgets/min_epochs.py
@@ -18,21 +18,21 @@
 _decoder = msgspec.json.Decoder(dict[str, int])
 
 
-async def read_floors(store: Store, deadline_unix_s: float) -> dict[tuple[int, str], int]:
+async def read_min_epochs(store: Store, deadline_unix_s: float) -> dict[tuple[int, str], int]:
     """Return the lowest epoch by shard and data centre.
 
     Raises ``StoreUnreachable``, or ``BadRecord`` for a key that can't be read.
     """
-    floors: dict[tuple[int, str], int] = {}
+    min_epochs: dict[tuple[int, str], int] = {}
     for stored in await store.list(PREFIX, deadline_unix_s):
         shard = int(stored.key.removeprefix(PREFIX))
-        floors.update(
+        min_epochs.update(
             ((shard, data_centre), epoch) for data_centre, epoch in _decode(stored).items()
         )
-    return floors
+    return min_epochs
 
 
-async def raise_floor(
+async def raise_min_epoch(
     store: Store, clock: Clock, place: tuple[int, str], epoch: int, deadline_unix_s: float
 ) -> None:
     """Raise the floor of a shard in a data centre; never lowers one.
@@ -44,10 +44,10 @@
     key = f'{PREFIX}{shard}'
     while clock.now_s() < deadline_unix_s:
         stored = await store.read(key, deadline_unix_s)
-        floors = {} if isinstance(stored, Absent) else _decode(stored)
-        if floors.get(data_centre, 0) >= epoch:
+        min_epochs = {} if isinstance(stored, Absent) else _decode(stored)
+        if min_epochs.get(data_centre, 0) >= epoch:
             return
-        raw = msgspec.json.encode({**floors, data_centre: epoch})
+        raw = msgspec.json.encode({**min_epochs, data_centre: epoch})
         version = 0 if isinstance(stored, Absent) else stored.version
         try:
             written = await store.swap(key, raw, version, deadline_unix_s)
--- a/packages/fleet/src/endivesaddle/fleet/budgets/recovery.py
+++ b/packages/fleet/src/endivesaddle/fleet/budgets/recovery.py
@@ -6,7 +6,7 @@
 
 import anyio
 
-from endivesaddle.fleet.budgets import findings, floors, notices, records, sidecars
+from endivesaddle.fleet.budgets import findings, min_epochs, notices, records, sidecars
 from endivesaddle.fleet.budgets.errors import BadRecord, RecordWriteUnconfirmed
 from endivesaddle.fleet.budgets.held import HeldShard
 from endivesaddle.fleet.budgets.moves import Side
@@ -83,7 +83,7 @@
         began_unix_s = self._clock.now_s()
         pause_s = self._settings.seal_retry_s
         while not held.passed and held.findings:
-            if await self._raise_floor(held):
+            if await self._raise_min_epoch(held):
                 await self._round(held)
             if began_unix_s + self._settings.records_kept_s < self._clock.now_s():
                 # Whoever could ask about such an old request has been answered long ago.
@@ -92,11 +92,13 @@
             await anyio.sleep(pause_s)
             pause_s = min(_LONGEST_PAUSE_S, pause_s * 2)
 
-    async def _raise_floor(self, held: HeldShard) -> bool:
+    async def _raise_min_epoch(self, held: HeldShard) -> bool:
         deadline_unix_s = self._clock.now_s() + self._settings.store_timeout_s
         place = (held.shard, held.data_centre)
         try:
-            await floors.raise_floor(self._store, self._clock, place, held.epoch, deadline_unix_s)
+            await min_epochs.raise_min_epoch(
+                self._store, self._clock, place, held.epoch, deadline_unix_s
+            )
         except (StoreUnreachable, RecordWriteUnconfirmed, BadRecord) as error:
             notices.STORE_TROUBLE.log(shard=held.shard, reason=str(error))
             return False
--- a/packages/fleet/src/endivesaddle/fleet/budgets/shard_manager.py
+++ b/packages/fleet/src/endivesaddle/fleet/budgets/shard_manager.py
@@ -47,7 +47,7 @@
         self.past_shards: dict[tuple[int, int], HeldShard] = {}
         self._patience = Patience()
         self._ended_unix_s: dict[tuple[int, int], float] = {}
-        self._floors: dict[tuple[int, str], int] = {}
+        self._min_epochs: dict[tuple[int, str], int] = {}
 
     async def keep(self, shard: int) -> None:
         """Hold one shard until its epoch is passed or its record is bad."""
@@ -92,7 +92,7 @@
     def seal(self, message: holders_pb2.SealRequest) -> list[holders_pb2.Record]:
         """Stop admitting under sealed epochs; report what this instance knows of them."""
         place = (message.shard, message.data_centre)
-        self._floors[place] = max(self.floor(*place), message.below_epoch)
+        self._min_epochs[place] = max(self.min_epoch(*place), message.below_epoch)
         own = message.data_centre == self._identity.data_centre
         report: list[holders_pb2.Record] = []
         for held in self._ever_held(message.shard):
@@ -111,9 +111,9 @@
             if ended_unix_s < oldest_unix_s:
                 self.past_shards.pop(place, None)
 
-    def floor(self, shard: int, data_centre: str) -> int:
+    def min_epoch(self, shard: int, data_centre: str) -> int:
         """Return the lowest epoch of a data centre that isn't sealed here."""
-        return self._floors.get((shard, data_centre), 0)
+        return self._min_epochs.get((shard, data_centre), 0)
 
     def _ever_held(self, shard: int) -> list[HeldShard]:
         held = [known for (kept, _), known in self.past_shards.items() if kept == shard]
--- a/packages/fleet/src/endivesaddle/fleet/budgets/transfers.py
+++ b/packages/fleet/src/endivesaddle/fleet/budgets/transfers.py
@@ -135,7 +135,7 @@
                 held.look_again()
             return
         move = Move(*ask.donor, reply.tokens)
-        sealed = move.epoch < self._shard_manager.floor(held.shard, move.data_centre)
+        sealed = move.epoch < self._shard_manager.min_epoch(held.shard, move.data_centre)
         held.dirty = True
         if sealed or held.passed:
             # The seal was answered without these tokens: they can't be used any more.
--- a/packages/stand_ins/src/endivesaddle/stand_ins/budget_sidecars.py
+++ b/packages/stand_ins/src/endivesaddle/stand_ins/budget_sidecars.py
@@ -65,7 +65,7 @@
         """Answer at the member's address; ``run`` has to run."""
         self.member = member
         self.records: dict[str, holders_pb2.Record] = {}
-        self.floors: dict[tuple[int, str], int] = {}
+        self.min_epochs: dict[tuple[int, str], int] = {}
         self.scope = anyio.CancelScope()
         self._clock = clock
         self._truth = truth
@@ -88,8 +88,8 @@
 
     async def start(self, message: runs_pb2.StartRequest) -> runs_pb2.StartReply:
         """Start a run unless its epoch is sealed."""
-        floor = self.floors.get((message.shard, message.data_centre), 0)
-        if message.epoch < floor:
+        min_epoch = self.min_epochs.get((message.shard, message.data_centre), 0)
+        if message.epoch < min_epoch:
             return runs_pb2.StartReply(verdict='refused', code='epoch_sealed', not_run=True)
         if message.request_key not in self.records:
             record = holders_pb2.Record(
@@ -119,7 +119,7 @@
     async def seal(self, message: holders_pb2.SealRequest) -> list[holders_pb2.Record]:
         """Refuse sealed epochs from now on; return what ran under them."""
         place = (message.shard, message.data_centre)
-        self.floors[place] = max(self.floors.get(place, 0), message.below_epoch)
+        self.min_epochs[place] = max(self.min_epochs.get(place, 0), message.below_epoch)
         return [
             record
             for record in self.records.values()
