--- a/packages/fleet/src/endivesaddle/fleet/budgets/findings.py
+++ b/packages/fleet/src/endivesaddle/fleet/budgets/epoch_usage.py
@@ -47,7 +47,7 @@
     spent_tokens: int
 
 
-class Finding:
+class EpochUsage:
     """The runs and transfers of one passed epoch, by account."""
 
     def __init__(self, side: moves.Side) -> None:
--- a/packages/fleet/src/endivesaddle/fleet/budgets/held.py
+++ b/packages/fleet/src/endivesaddle/fleet/budgets/held.py
@@ -3,7 +3,7 @@
 import anyio
 
 from endivesaddle.fleet.budgets import records
-from endivesaddle.fleet.budgets.findings import Finding
+from endivesaddle.fleet.budgets.epoch_usage import EpochUsage
 from endivesaddle.fleet.budgets.ledger import Ledger
 from endivesaddle.fleet.budgets.moves import Side
 from endivesaddle.fleet.budgets.records_store import Saved
@@ -29,8 +29,8 @@
         self.dirty = False
         self.in_doubt = False
         self.receivers = dict(own['others'])
-        self.findings = _findings(saved.record, data_centre)
-        self.recovered = not self.findings
+        self.past_epochs = _past_epochs(saved.record, data_centre)
+        self.recovered = not self.past_epochs
         self._lock = anyio.Lock()
         self._wake = anyio.Event()
         self._changed = anyio.Event()
@@ -102,10 +102,10 @@
         return self._sealed_unix_s.get(records.sealed_key(*side), 0)
 
 
-def _findings(record: records.ShardRecord, data_centre: str) -> dict[int, Finding]:
-    findings = {}
+def _past_epochs(record: records.ShardRecord, data_centre: str) -> dict[int, EpochUsage]:
+    past_epochs = {}
     for name in record['sealed']:
         place, _, epoch = name.partition('/')
         if place == data_centre:
-            findings[int(epoch)] = Finding(Side(place, int(epoch)))
-    return findings
+            past_epochs[int(epoch)] = EpochUsage(Side(place, int(epoch)))
+    return past_epochs
--- a/packages/fleet/src/endivesaddle/fleet/budgets/holder.py
+++ b/packages/fleet/src/endivesaddle/fleet/budgets/holder.py
@@ -160,12 +160,12 @@
 
     def _settle_late(self, account: str, request_key: str, epoch: int, used_tokens: int) -> int:
         held = self._held(account)
-        finding = None if held is None else held.findings.get(epoch)
-        if held is None or finding is None:
+        usage = None if held is None else held.past_epochs.get(epoch)
+        if held is None or usage is None:
             # Its epoch is done with: all that ran under it is counted by now.
             return used_tokens
         notices.LATE_SETTLE.log(account=account, request_key=request_key, epoch=epoch)
-        billed = finding.settle(account, request_key, used_tokens)
+        billed = usage.settle(account, request_key, used_tokens)
         held.hurry()
         return used_tokens if billed is None else billed
 
--- a/packages/fleet/src/endivesaddle/fleet/budgets/plan.py
+++ b/packages/fleet/src/endivesaddle/fleet/budgets/plan.py
@@ -62,8 +62,8 @@
         # confirmed rules that out, so there has to be one: without it, an account
         # whose grant that write folded was billed for the same requests again.
         changed = own != before or self._in_doubt
-        for finding in held.findings.values():
-            changed = release(record, finding) or changed
+        for usage in held.past_epochs.values():
+            changed = release(record, usage) or changed
         for account, ledger in held.ledgers.items():
             budget = record['budgets'].get(account)
             if budget is not None:
@@ -89,9 +89,9 @@
             ledger.forget(self._now_unix_s - self._settings.records_kept_s, grant.batch)
         held.in_doubt = False
         held.receivers = dict(record['holders'][held.data_centre]['others'])
-        for epoch, finding in list(held.findings.items()):
-            if records.sealed_key(*finding.side) not in record['sealed']:
-                held.findings.pop(epoch)
+        for epoch, usage in list(held.past_epochs.items()):
+            if records.sealed_key(*usage.side) not in record['sealed']:
+                held.past_epochs.pop(epoch)
 
     def cancel(self) -> None:
         """Go back to before the plan: none of its writes was or will be made."""
--- a/packages/fleet/src/endivesaddle/fleet/budgets/recovery.py
+++ b/packages/fleet/src/endivesaddle/fleet/budgets/recovery.py
@@ -6,7 +6,7 @@
 
 import anyio
 
-from endivesaddle.fleet.budgets import findings, min_epochs, notices, records, sidecars
+from endivesaddle.fleet.budgets import epoch_usage, min_epochs, notices, records, sidecars
 from endivesaddle.fleet.budgets.errors import BadRecord, RecordWriteUnconfirmed
 from endivesaddle.fleet.budgets.held import HeldShard
 from endivesaddle.fleet.budgets.moves import Side
@@ -53,7 +53,7 @@
             Side(record.data_centre, record.epoch)
             for reply in self.routers
             for record in reply.seal.records
-            if record.state == findings.HELD
+            if record.state == epoch_usage.HELD
         }
 
 
@@ -82,7 +82,7 @@
         """Seal again and again until all is known, or the shard is held no more."""
         began_unix_s = self._clock.now_s()
         pause_s = self._settings.seal_retry_s
-        while not held.passed and held.findings:
+        while not held.passed and held.past_epochs:
             if await self._raise_min_epoch(held):
                 await self._round(held)
             if began_unix_s + self._settings.records_kept_s < self._clock.now_s():
@@ -106,45 +106,43 @@
 
     async def _round(self, held: HeldShard) -> None:
         answers = await self._ask_all(held)
-        for epoch, finding in held.findings.items():
-            self._learn(held, epoch, finding, answers)
-        complete = all(known.complete for known in held.findings.values())
+        for epoch, usage in held.past_epochs.items():
+            self._learn(held, epoch, usage, answers)
+        complete = all(known.complete for known in held.past_epochs.values())
         if self.claim_recovery is not None and not held.recovered:
             known = [
                 record
                 for reply in [*answers.routers, *answers.sidecars]
                 for record in reply.seal.records
-                if record.state not in findings.OWN_STATES
+                if record.state not in epoch_usage.OWN_STATES
             ]
             self.claim_recovery.adopt(held.shard, known, complete)
         held.recovered = held.recovered or complete
 
     def _learn(
-        self, held: HeldShard, epoch: int, finding: findings.Finding, answers: Round
+        self, held: HeldShard, epoch: int, usage: epoch_usage.EpochUsage, answers: Round
     ) -> None:
         past = held.saved.record['sealed'].get(records.sealed_key(held.data_centre, epoch))
         if past is None:
-            finding.complete = True
+            usage.complete = True
             return
         known_batch = self._known_batch(past, answers)
-        finding.learn(
-            _about(finding, answers.routers), _about(finding, answers.sidecars), known_batch
-        )
+        usage.learn(_about(usage, answers.routers), _about(usage, answers.sidecars), known_batch)
         held_there = answers.held()
         others = {Side(name, number) for name, number in past['others'].items()}
-        if finding.side in held_there:
-            self._prove(held, finding, 0)
+        if usage.side in held_there:
+            self._prove(held, usage, 0)
         elif known_batch < _NEVER and others <= held_there:
-            self._prove(held, finding, known_batch)
+            self._prove(held, usage, known_batch)
         elif answers.everyone:
             notices.STRANDED.log(shard=held.shard, epoch=epoch)
 
-    def _prove(self, held: HeldShard, finding: findings.Finding, first_batch: int) -> None:
-        if not finding.complete:
-            notices.SEALED.log(shard=held.shard, epoch=finding.side.epoch)
-            finding.first_batch = first_batch
-        finding.first_batch = min(finding.first_batch, first_batch)
-        finding.complete = True
+    def _prove(self, held: HeldShard, usage: epoch_usage.EpochUsage, first_batch: int) -> None:
+        if not usage.complete:
+            notices.SEALED.log(shard=held.shard, epoch=usage.side.epoch)
+            usage.first_batch = first_batch
+        usage.first_batch = min(usage.first_batch, first_batch)
+        usage.complete = True
 
     def _known_batch(self, past: records.Holder, answers: Round) -> int:
         fleet = answers.fleet(list(self._view.configuration.servers))
@@ -203,10 +201,10 @@
             replies.append(Reply(member, reply))
 
 
-def _about(finding: findings.Finding, replies: Sequence[Reply]) -> list[holders_pb2.Record]:
+def _about(usage: epoch_usage.EpochUsage, replies: Sequence[Reply]) -> list[holders_pb2.Record]:
     return [
         record
         for reply in replies
         for record in reply.seal.records
-        if record.state == findings.MOVED or findings.side_of(record) == finding.side
+        if record.state == epoch_usage.MOVED or epoch_usage.side_of(record) == usage.side
     ]
--- a/packages/fleet/src/endivesaddle/fleet/budgets/releasing.py
+++ b/packages/fleet/src/endivesaddle/fleet/budgets/releasing.py
@@ -1,48 +1,48 @@
 """Release what was stranded, as part of a holder's write."""
 
 from endivesaddle.fleet.budgets import moves, records
-from endivesaddle.fleet.budgets.findings import Finding
+from endivesaddle.fleet.budgets.epoch_usage import EpochUsage
 
 
-def release(record: records.ShardRecord, finding: Finding) -> bool:
+def release(record: records.ShardRecord, usage: EpochUsage) -> bool:
     """Release a passed epoch's stranded tokens as far as its runs are known."""
-    if not finding.complete:
+    if not usage.complete:
         return False
     changed = False
     for account, budget in record['budgets'].items():
-        for transfer_id, move in finding.taken.get(account, {}).items():
+        for transfer_id, move in usage.taken.get(account, {}).items():
             fresh = transfer_id not in budget['moves']
-            entered = moves.enter(record, account, transfer_id, move, finding.side)
+            entered = moves.enter(record, account, transfer_id, move, usage.side)
             changed = changed or (fresh and entered)
-        finding.entered(account, budget['moves'])
-        changed = _release(budget, account, finding) or changed
-    return forget(record, finding) or changed
+        usage.entered(account, budget['moves'])
+        changed = _release(budget, account, usage) or changed
+    return forget(record, usage) or changed
 
 
-def forget(record: records.ShardRecord, finding: Finding) -> bool:
+def forget(record: records.ShardRecord, usage: EpochUsage) -> bool:
     """Forget a passed holder when no stranded tokens refer to it."""
     for budget in record['budgets'].values():
-        if any((entry.data_centre, entry.epoch) == finding.side for entry in budget['stranded']):
+        if any((entry.data_centre, entry.epoch) == usage.side for entry in budget['stranded']):
             return False
-    return record['sealed'].pop(records.sealed_key(*finding.side), None) is not None
+    return record['sealed'].pop(records.sealed_key(*usage.side), None) is not None
 
 
-def _release(budget: records.Budget, account: str, finding: Finding) -> bool:
+def _release(budget: records.Budget, account: str, usage: EpochUsage) -> bool:
     before = list(budget['stranded'])
     budget['stranded'] = []
     for entry in before:
         kept: records.Stranded | None = entry
-        if (entry.data_centre, entry.epoch) == finding.side:
-            kept = _rest(budget, entry, account, finding)
+        if (entry.data_centre, entry.epoch) == usage.side:
+            kept = _rest(budget, entry, account, usage)
         if kept is not None:
             budget['stranded'].append(kept)
     return before != budget['stranded']
 
 
 def _rest(
-    budget: records.Budget, entry: records.Stranded, account: str, finding: Finding
+    budget: records.Budget, entry: records.Stranded, account: str, usage: EpochUsage
 ) -> records.Stranded | None:
-    found = finding.release(account, entry)
+    found = usage.release(account, entry)
     if found is None:
         return entry
     if found.spent_tokens < 0:
--- a/packages/fleet/src/endivesaddle/fleet/budgets/reports.py
+++ b/packages/fleet/src/endivesaddle/fleet/budgets/reports.py
@@ -1,6 +1,6 @@
 """What a holder answers to a seal: its own reservations and direct transfers."""
 
-from endivesaddle.fleet.budgets import findings
+from endivesaddle.fleet.budgets import epoch_usage
 from endivesaddle.fleet.budgets.held import HeldShard
 from endivesaddle.fleet.budgets.ledger import Ledger
 from endivesaddle.wire import holders_pb2
@@ -8,7 +8,7 @@
 
 def own_report(held: HeldShard) -> list[holders_pb2.Record]:
     """Return everything that a passed epoch of this instance has reserved or billed."""
-    report = [_record(held, findings.HELD)]
+    report = [_record(held, epoch_usage.HELD)]
     for account, ledger in held.ledgers.items():
         grant = held.budget(account)['grants'].get(held.data_centre)
         report.extend(_runs(held, account, ledger, 0 if grant is None else grant.batch))
@@ -24,7 +24,7 @@
     stranded and forgets what ran there, and the tokens that were spent are neither
     billed nor bound.  The donor knows what it gave, and that is stranded then.
     """
-    report = [_record(held, findings.HELD)]
+    report = [_record(held, epoch_usage.HELD)]
     for account, ledger in held.ledgers.items():
         for transfer_id, move in {**ledger.transit.taken, **ledger.transit.given}.items():
             if move.data_centre == data_centre and move.epoch < below_epoch:
@@ -46,7 +46,7 @@
     reserved = [
         _record(
             held,
-            findings.RESERVED,
+            epoch_usage.RESERVED,
             account=account,
             request_key=request_key,
             bound_tokens=reservation.bound_tokens,
@@ -57,7 +57,7 @@
     settled = [
         _record(
             held,
-            findings.SETTLED,
+            epoch_usage.SETTLED,
             account=account,
             request_key=request_key,
             used_tokens=ended.billed_tokens,
@@ -71,7 +71,7 @@
 
 def _moved(held: HeldShard, account: str, transfer_id: str, tokens: int) -> holders_pb2.Record:
     return _record(
-        held, findings.MOVED, account=account, request_key=transfer_id, bound_tokens=tokens
+        held, epoch_usage.MOVED, account=account, request_key=transfer_id, bound_tokens=tokens
     )
 
 
