--- a/packages/fleet/src/endivesaddle/fleet/budgets/admission.py
+++ b/packages/fleet/src/endivesaddle/fleet/budgets/admission.py
@@ -11,7 +11,7 @@
 
 import anyio
 
-from endivesaddle.fleet.budgets import plan, records
+from endivesaddle.fleet.budgets import records, shard_update
 from endivesaddle.fleet.budgets.held import HeldShard
 from endivesaddle.fleet.budgets.ledger import Ledger, Waiter
 from endivesaddle.fleet.budgets.moves import Side
@@ -105,7 +105,7 @@
         if not ledger.reserve(waiter.request_key, waiter.bound_tokens, held.batch):
             return False
         held.dirty = True
-        if plan.is_low(ledger, self._settings, self._clock.now_s()):
+        if shard_update.is_low(ledger, self._settings, self._clock.now_s()):
             held.hurry()
         return True
 
--- a/packages/fleet/src/endivesaddle/fleet/budgets/notices.py
+++ b/packages/fleet/src/endivesaddle/fleet/budgets/events.py
@@ -3,7 +3,7 @@
 from endivesaddle.fleet.events import event
 
 TAKEN_OVER = event(1001, 'INFO', 'budget_shard_taken', 'This router holds a shard from now on.')
-PASSED = event(
+EPOCH_PASSED = event(
     1002, 'WARNING', 'budget_epoch_passed', 'Another router took a shard over; admitting stopped.'
 )
 BAD_RECORD = event(
@@ -12,7 +12,7 @@
     'budget_record_bad',
     'A record in the store is broken, newer or over its budget; its shard admits nothing.',
 )
-STORE_TROUBLE = event(
+STORE_FAILED = event(
     1004, 'WARNING', 'budget_store_trouble', 'A shard could not be read or written for now.'
 )
 OVER_REPORT = event(
--- a/packages/fleet/src/endivesaddle/fleet/budgets/holder.py
+++ b/packages/fleet/src/endivesaddle/fleet/budgets/holder.py
@@ -11,7 +11,7 @@
 import anyio
 from anyio.abc import TaskGroup
 
-from endivesaddle.fleet.budgets import notices
+from endivesaddle.fleet.budgets import events
 from endivesaddle.fleet.budgets.admission import Admission
 from endivesaddle.fleet.budgets.assignment import ShardAssignment
 from endivesaddle.fleet.budgets.dumps import describe
@@ -102,7 +102,7 @@
         ledger = held.ledger(account)
         reservation = ledger.open.get(request_key)
         if reservation is not None and used_tokens > reservation.bound_tokens:
-            notices.OVER_REPORT.log(
+            events.OVER_REPORT.log(
                 account=account,
                 request_key=request_key,
                 used_tokens=used_tokens,
@@ -164,7 +164,7 @@
         if held is None or usage is None:
             # Its epoch is done with: all that ran under it is counted by now.
             return used_tokens
-        notices.LATE_SETTLE.log(account=account, request_key=request_key, epoch=epoch)
+        events.LATE_SETTLE.log(account=account, request_key=request_key, epoch=epoch)
         billed = usage.settle(account, request_key, used_tokens)
         held.hurry()
         return used_tokens if billed is None else billed
--- a/packages/fleet/src/endivesaddle/fleet/budgets/recovery.py
+++ b/packages/fleet/src/endivesaddle/fleet/budgets/recovery.py
@@ -6,7 +6,7 @@
 
 import anyio
 
-from endivesaddle.fleet.budgets import epoch_usage, min_epochs, notices, records, sidecars
+from endivesaddle.fleet.budgets import epoch_usage, events, min_epochs, records, sidecars
 from endivesaddle.fleet.budgets.errors import BadRecord, RecordWriteUnconfirmed
 from endivesaddle.fleet.budgets.held import HeldShard
 from endivesaddle.fleet.budgets.moves import Side
@@ -100,7 +100,7 @@
                 self._store, self._clock, place, held.epoch, deadline_unix_s
             )
         except (StoreUnreachable, RecordWriteUnconfirmed, BadRecord) as error:
-            notices.STORE_TROUBLE.log(shard=held.shard, reason=str(error))
+            events.STORE_FAILED.log(shard=held.shard, reason=str(error))
             return False
         return True
 
@@ -135,11 +135,11 @@
         elif known_batch < _NEVER and others <= held_there:
             self._prove(held, usage, known_batch)
         elif answers.everyone:
-            notices.STRANDED.log(shard=held.shard, epoch=epoch)
+            events.STRANDED.log(shard=held.shard, epoch=epoch)
 
     def _prove(self, held: HeldShard, usage: epoch_usage.EpochUsage, first_batch: int) -> None:
         if not usage.complete:
-            notices.SEALED.log(shard=held.shard, epoch=usage.side.epoch)
+            events.SEALED.log(shard=held.shard, epoch=usage.side.epoch)
             usage.first_batch = first_batch
         usage.first_batch = min(usage.first_batch, first_batch)
         usage.complete = True
--- a/packages/fleet/src/endivesaddle/fleet/budgets/shard_manager.py
+++ b/packages/fleet/src/endivesaddle/fleet/budgets/shard_manager.py
@@ -2,17 +2,17 @@
 
 import anyio
 
-from endivesaddle.fleet.budgets import notices, sidecars
+from endivesaddle.fleet.budgets import events, sidecars
 from endivesaddle.fleet.budgets.assignment import ShardAssignment
 from endivesaddle.fleet.budgets.errors import BadRecord, EpochPassed, RecordWriteUnconfirmed
 from endivesaddle.fleet.budgets.held import HeldShard
-from endivesaddle.fleet.budgets.patience import Patience
-from endivesaddle.fleet.budgets.plan import Plan
 from endivesaddle.fleet.budgets.records_store import RecordStore, Saved
 from endivesaddle.fleet.budgets.recovery import Recovery
 from endivesaddle.fleet.budgets.reports import other_report, own_report
 from endivesaddle.fleet.budgets.settings import BudgetSettings
+from endivesaddle.fleet.budgets.shard_update import ShardUpdate
 from endivesaddle.fleet.budgets.takeover import Takeover
+from endivesaddle.fleet.budgets.takeover_backoff import TakeoverBackoff
 from endivesaddle.fleet.clock import Clock
 from endivesaddle.fleet.errors import FleetError, StoreUnreachable
 from endivesaddle.fleet.identity import Identity
@@ -45,7 +45,7 @@
         self.records = RecordStore(store, clock)
         self.held_shards: dict[int, HeldShard | None] = {}
         self.past_shards: dict[tuple[int, int], HeldShard] = {}
-        self._patience = Patience()
+        self._backoff = TakeoverBackoff()
         self._ended_unix_s: dict[tuple[int, int], float] = {}
         self._min_epochs: dict[tuple[int, str], int] = {}
 
@@ -54,10 +54,10 @@
         held = await self._take(shard)
         if held is not None:
             self.held_shards[shard] = held
-            notices.TAKEN_OVER.log(shard=shard, epoch=held.epoch)
+            events.TAKEN_OVER.log(shard=shard, epoch=held.epoch)
             await self._hold(held)
             self._end(held)
-            await anyio.sleep(self._patience.lost(shard, self._clock.now_s()))
+            await anyio.sleep(self._backoff.lost(shard, self._clock.now_s()))
         self.held_shards.pop(shard)
 
     def let_all_go(self) -> None:
@@ -85,8 +85,8 @@
             now_unix_s = self._clock.now_s()
             known = None if self._is_stale(held, now_unix_s) else held.saved
             held.dirty = False
-            plan = Plan(held, self._settings, sidecars.fingerprint(self._view), now_unix_s)
-            await self._save(held, plan, known)
+            update = ShardUpdate(held, self._settings, sidecars.fingerprint(self._view), now_unix_s)
+            await self._save(held, update, known)
         held.tell()
 
     def seal(self, message: holders_pb2.SealRequest) -> list[holders_pb2.Record]:
@@ -133,7 +133,7 @@
         return held.seen_unix_s + fresh_s < now_unix_s
 
     async def _hold(self, held: HeldShard) -> None:
-        self._patience.taken(held.shard, self._clock.now_s())
+        self._backoff.taken(held.shard, self._clock.now_s())
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self.recovery.run, held)
             looked_unix_s = self._clock.now_s()
@@ -143,39 +143,39 @@
             tasks.cancel_scope.cancel()
 
     def _end(self, held: HeldShard) -> None:
-        notices.PASSED.log(shard=held.shard, epoch=held.epoch, reason=held.passed)
+        events.EPOCH_PASSED.log(shard=held.shard, epoch=held.epoch, reason=held.passed)
         place = (held.shard, held.epoch)
         self._ended_unix_s[place] = self._clock.now_s()
         self.past_shards[place] = held
         self.held_shards[held.shard] = None
 
-    async def _save(self, held: HeldShard, plan: Plan, known: Saved | None) -> None:
+    async def _save(self, held: HeldShard, update: ShardUpdate, known: Saved | None) -> None:
         began_unix_s = self._clock.now_s()
         deadline_unix_s = began_unix_s + self._settings.store_timeout_s
         try:
-            saved = await self.records.update(held.shard, plan, deadline_unix_s, known)
+            saved = await self.records.update(held.shard, update, deadline_unix_s, known)
         except (EpochPassed, BadRecord) as end:
             self._let_go(held, end)
         except StoreUnreachable as unreachable:
-            plan.cancel()
+            update.cancel()
             self._trouble(held, unreachable)
         except RecordWriteUnconfirmed as unsaved:
             held.in_doubt = True
             self._trouble(held, unsaved)
         else:
-            plan.confirm(saved.record)
+            update.confirm(saved.record)
             # Where there was nothing to write the record was not looked at either.
             if saved is not known:
                 held.see(saved, began_unix_s)
 
     def _let_go(self, held: HeldShard, end: FleetError) -> None:
         if isinstance(end, BadRecord):
-            notices.BAD_RECORD.log(shard=held.shard, reason=str(end))
+            events.BAD_RECORD.log(shard=held.shard, reason=str(end))
         held.stop(str(end))
 
     def _trouble(self, held: HeldShard, error: FleetError) -> None:
         if held.reachable:
-            notices.STORE_TROUBLE.log(shard=held.shard, reason=str(error))
+            events.STORE_FAILED.log(shard=held.shard, reason=str(error))
         held.reachable = False
 
     async def _take(self, shard: int) -> HeldShard | None:
@@ -185,9 +185,9 @@
             try:
                 return await self._try_to_take(shard)
             except BadRecord as bad:
-                notices.BAD_RECORD.log(shard=shard, reason=str(bad))
+                events.BAD_RECORD.log(shard=shard, reason=str(bad))
             except _STORE_ERRORS as error:
-                notices.STORE_TROUBLE.log(shard=shard, reason=str(error))
+                events.STORE_FAILED.log(shard=shard, reason=str(error))
             await anyio.sleep(self._settings.store_timeout_s)
         return None
 
--- a/packages/fleet/src/endivesaddle/fleet/budgets/plan.py
+++ b/packages/fleet/src/endivesaddle/fleet/budgets/shard_update.py
@@ -30,7 +30,7 @@
     return ledger.headroom < ahead_tokens(ledger, settings, now_unix_s) // _LOW_PART
 
 
-class Plan:
+class ShardUpdate:
     """One write of a shard: apply it to a record, then ``confirm`` it."""
 
     def __init__(
--- a/packages/fleet/src/endivesaddle/fleet/budgets/patience.py
+++ b/packages/fleet/src/endivesaddle/fleet/budgets/takeover_backoff.py
@@ -5,7 +5,7 @@
 _STEADY_S = 60.0
 
 
-class Patience:
+class TakeoverBackoff:
     """Pauses that grow while a shard goes back and forth.
 
     Two routers that don't see each other both believe to be responsible.  Each
--- a/packages/fleet/src/endivesaddle/fleet/budgets/top_ups.py
+++ b/packages/fleet/src/endivesaddle/fleet/budgets/top_ups.py
@@ -7,7 +7,7 @@
 
 from typing import NamedTuple
 
-from endivesaddle.fleet.budgets import notices, records
+from endivesaddle.fleet.budgets import events, records
 from endivesaddle.fleet.budgets.errors import BadRecord, RecordWriteUnconfirmed
 from endivesaddle.fleet.budgets.records_store import Change, RecordStore
 from endivesaddle.fleet.clock import Clock
@@ -164,5 +164,5 @@
     except RecordWriteUnconfirmed as error:
         return Unknown(str(error))
     total_tokens = records.total_tokens(saved.record['budgets'][account])
-    notices.TOP_UP.log(account=account, total_tokens=total_tokens)
+    events.TOP_UP.log(account=account, total_tokens=total_tokens)
     return Accepted(total_tokens)
--- a/packages/fleet/src/endivesaddle/fleet/budgets/transfers.py
+++ b/packages/fleet/src/endivesaddle/fleet/budgets/transfers.py
@@ -10,7 +10,7 @@
 
 import anyio
 
-from endivesaddle.fleet.budgets import notices
+from endivesaddle.fleet.budgets import events
 from endivesaddle.fleet.budgets.held import HeldShard
 from endivesaddle.fleet.budgets.ledger import Ledger, Move
 from endivesaddle.fleet.budgets.moves import MoveId, Side, parse_id
@@ -162,7 +162,7 @@
             return holders_pb2.TransferReply(reason='no headroom')
         ledger.transit.given[message.transfer_id] = Move(*receiver, tokens)
         held.dirty = True
-        notices.GAVE.log(account=message.account, tokens=tokens, to=receiver.data_centre)
+        events.GAVE.log(account=message.account, tokens=tokens, to=receiver.data_centre)
         return _given(held, tokens)
 
     async def _give_back(
