--- a/packages/fleet/src/endivesaddle/fleet/budgets/admission.py
+++ b/packages/fleet/src/endivesaddle/fleet/budgets/admission.py
@@ -69,7 +69,7 @@
         came_unix_s = self._clock.now_s()
         ledger.queue.append(waiter)
         try:
-            while not held.passed:
+            while not held.stop_reason:
                 if self._may_go(held, account, waiter) and self._reserve(held, ledger, waiter):
                     return None
                 refused = self._judge(held, account, waiter, Waiting(came_unix_s, deadline_unix_s))
--- a/packages/fleet/src/endivesaddle/fleet/budgets/dumps.py
+++ b/packages/fleet/src/endivesaddle/fleet/budgets/dumps.py
@@ -29,7 +29,7 @@
 
 def _shard(held: HeldShard) -> dict[str, Any]:
     return {
-        'state': held.passed or 'held',
+        'state': held.stop_reason or 'held',
         'data_centre': held.data_centre,
         'epoch': held.epoch,
         'recovered': held.recovered,
--- a/packages/fleet/src/endivesaddle/fleet/budgets/errors.py
+++ b/packages/fleet/src/endivesaddle/fleet/budgets/errors.py
@@ -7,7 +7,7 @@
     """A shard's record can't be used: broken, newer, or over its budget."""
 
 
-class EpochPassed(FleetError):
+class EpochSuperseded(FleetError):
     """Another holder has taken over: this one's epoch is old."""
 
 
--- a/packages/fleet/src/endivesaddle/fleet/budgets/held.py
+++ b/packages/fleet/src/endivesaddle/fleet/budgets/held.py
@@ -25,7 +25,7 @@
         self.ledgers: dict[str, Ledger] = {}
         self.since_unix_s = now_unix_s
         self.batch = int(now_unix_s)
-        self.passed = ''
+        self.stop_reason = ''
         self.dirty = False
         self.in_doubt = False
         self.receivers = dict(own['others'])
@@ -62,7 +62,7 @@
 
     def stop(self, reason: str) -> None:
         """Admit nothing more; whoever waits is told at once."""
-        self.passed = self.passed or reason
+        self.stop_reason = self.stop_reason or reason
         self.tell()
 
     def tell(self) -> None:
--- a/packages/fleet/src/endivesaddle/fleet/budgets/holder.py
+++ b/packages/fleet/src/endivesaddle/fleet/budgets/holder.py
@@ -89,7 +89,7 @@
             if refused is not None:
                 return refused
         reservation = held.ledger(account).open.get(request_key)
-        if reservation is None or held.passed:
+        if reservation is None or held.stop_reason:
             return self._elsewhere(account)
         return Reserved(held.shard, held.data_centre, held.epoch, reservation.batch)
 
@@ -131,7 +131,7 @@
         held = [
             self._shard_manager.held_shards.get(shard) for shard in self.assignment.own_shards()
         ]
-        return all(shard and not shard.passed and shard.recovered for shard in held)
+        return all(shard and not shard.stop_reason and shard.recovered for shard in held)
 
     def holder_address(self, account: str, data_centre: str) -> str:
         """Return the address of the account's holder in a data centre ('' unknown)."""
@@ -156,7 +156,7 @@
 
     def _held(self, account: str) -> HeldShard | None:
         held = self._shard_manager.held_shards.get(shard_of(account))
-        return None if held is None or held.passed else held
+        return None if held is None or held.stop_reason else held
 
     def _settle_late(self, account: str, request_key: str, epoch: int, used_tokens: int) -> int:
         held = self._held(account)
--- a/packages/fleet/src/endivesaddle/fleet/budgets/recovery.py
+++ b/packages/fleet/src/endivesaddle/fleet/budgets/recovery.py
@@ -82,7 +82,7 @@
         """Seal again and again until all is known, or the shard is held no more."""
         began_unix_s = self._clock.now_s()
         pause_s = self._settings.seal_retry_s
-        while not held.passed and held.past_epochs:
+        while not held.stop_reason and held.past_epochs:
             if await self._raise_min_epoch(held):
                 await self._round(held)
             if began_unix_s + self._settings.records_kept_s < self._clock.now_s():
--- a/packages/fleet/src/endivesaddle/fleet/budgets/shard_manager.py
+++ b/packages/fleet/src/endivesaddle/fleet/budgets/shard_manager.py
@@ -4,7 +4,7 @@
 
 from endivesaddle.fleet.budgets import events, sidecars
 from endivesaddle.fleet.budgets.assignment import ShardAssignment
-from endivesaddle.fleet.budgets.errors import BadRecord, EpochPassed, RecordWriteUnconfirmed
+from endivesaddle.fleet.budgets.errors import BadRecord, EpochSuperseded, RecordWriteUnconfirmed
 from endivesaddle.fleet.budgets.held import HeldShard
 from endivesaddle.fleet.budgets.records_store import RecordStore, Saved
 from endivesaddle.fleet.budgets.recovery import Recovery
@@ -137,13 +137,13 @@
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self.recovery.run, held)
             looked_unix_s = self._clock.now_s()
-            while not held.passed:
+            while not held.stop_reason:
                 looked_unix_s = await self._due(held, looked_unix_s)
                 await self.write(held)
             tasks.cancel_scope.cancel()
 
     def _end(self, held: HeldShard) -> None:
-        events.EPOCH_PASSED.log(shard=held.shard, epoch=held.epoch, reason=held.passed)
+        events.EPOCH_PASSED.log(shard=held.shard, epoch=held.epoch, reason=held.stop_reason)
         place = (held.shard, held.epoch)
         self._ended_unix_s[place] = self._clock.now_s()
         self.past_shards[place] = held
@@ -154,7 +154,7 @@
         deadline_unix_s = began_unix_s + self._settings.store_timeout_s
         try:
             saved = await self.records.update(held.shard, update, deadline_unix_s, known)
-        except (EpochPassed, BadRecord) as end:
+        except (EpochSuperseded, BadRecord) as end:
             self._let_go(held, end)
         except StoreUnreachable as unreachable:
             update.cancel()
--- a/packages/fleet/src/endivesaddle/fleet/budgets/shard_update.py
+++ b/packages/fleet/src/endivesaddle/fleet/budgets/shard_update.py
@@ -5,7 +5,7 @@
 """
 
 from endivesaddle.fleet.budgets import records
-from endivesaddle.fleet.budgets.errors import EpochPassed
+from endivesaddle.fleet.budgets.errors import EpochSuperseded
 from endivesaddle.fleet.budgets.held import HeldShard
 from endivesaddle.fleet.budgets.ledger import Ledger
 from endivesaddle.fleet.budgets.moves import Exchange
@@ -50,7 +50,7 @@
         self._batch = held.batch
 
     def __call__(self, record: records.ShardRecord) -> bool:
-        """Change a record; raise ``EpochPassed`` where it shows a later holder."""
+        """Change a record; raise ``EpochSuperseded`` where it shows a later holder."""
         held = self._held
         check_epoch(record, held)
         self._ceilings = {}
@@ -220,7 +220,7 @@
 
 
 def check_epoch(record: records.ShardRecord, held: HeldShard) -> None:
-    """Raise ``EpochPassed`` unless the record names this epoch as the latest."""
+    """Raise ``EpochSuperseded`` unless the record names this epoch as the latest."""
     holder = record['holders'].get(held.data_centre)
     if holder is None or holder['epoch'] != held.epoch:
-        raise EpochPassed(f'epoch {held.epoch} of shard {held.shard} is passed')
+        raise EpochSuperseded(f'epoch {held.epoch} of shard {held.shard} is passed')
--- a/packages/fleet/src/endivesaddle/fleet/budgets/transfers.py
+++ b/packages/fleet/src/endivesaddle/fleet/budgets/transfers.py
@@ -71,7 +71,7 @@
     async def give(self, message: holders_pb2.TransferRequest) -> holders_pb2.TransferReply:
         """Give headroom to the receiver that asks, below its epoch and this one's."""
         held = self._shard_manager.held_shards.get(shard_of(message.account))
-        if held is None or held.passed:
+        if held is None or held.stop_reason:
             return holders_pb2.TransferReply(reason='not the holder')
         transfer = _parsed(message)
         if transfer is None or transfer.donor != held.side:
@@ -137,7 +137,7 @@
         move = Move(*ask.donor, reply.tokens)
         sealed = move.epoch < self._shard_manager.min_epoch(held.shard, move.data_centre)
         held.dirty = True
-        if sealed or held.passed:
+        if sealed or held.stop_reason:
             # The seal was answered without these tokens: they can't be used any more.
             ledger.transit.doubtful[ask.transfer_id] = move
             return
