--- a/features/steps/budgets_steps.py
+++ b/features/steps/budgets_steps.py
@@ -6,7 +6,7 @@
 from behave import given, then, when
 
 from endivesaddle.fleet.budgets import records, write_offs
-from endivesaddle.fleet.budgets.moves import Side
+from endivesaddle.fleet.budgets.direct_transfers import HolderEpoch
 from endivesaddle.fleet.interfaces import Reserved
 from subjects.budget_orders import ACCOUNT
 from subjects.budgets import Budgets
@@ -132,15 +132,15 @@
 def write_off(context: Any, tokens: int, epoch: int, place: str) -> None:
     """Write stranded tokens off."""
     for _ in range(2):
-        say(context, _write_off, tokens, Side(place, epoch))
+        say(context, _write_off, tokens, HolderEpoch(place, epoch))
 
 
 async def _write_off(subject: Budgets, fields: Any) -> None:
     fleet = subject.fleet
-    tokens, side = fields
+    tokens, holder_epoch = fields
     subject.operator.append(
         await write_offs.write_off(
-            fleet.store, fleet.clock, ACCOUNT, side, tokens, subject.now_s() + 1
+            fleet.store, fleet.clock, ACCOUNT, holder_epoch, tokens, subject.now_s() + 1
         )
     )
 
--- a/packages/fleet/src/endivesaddle/fleet/budgets/admission.py
+++ b/packages/fleet/src/endivesaddle/fleet/budgets/admission.py
@@ -12,9 +12,9 @@
 import anyio
 
 from endivesaddle.fleet.budgets import records, shard_update
+from endivesaddle.fleet.budgets.direct_transfers import HolderEpoch
 from endivesaddle.fleet.budgets.held import HeldShard
 from endivesaddle.fleet.budgets.ledger import Ledger, Waiter
-from endivesaddle.fleet.budgets.moves import Side
 from endivesaddle.fleet.budgets.settings import BudgetSettings
 from endivesaddle.fleet.budgets.transfers import Transfers
 from endivesaddle.fleet.clock import Clock, left_s
@@ -134,11 +134,11 @@
         top-up.  Symptom: it refuses what the others hold headroom for.  Whoever has
         seen the tokens gives of them, so they are asked before a refusal.
         """
-        asked_until_unix_s = ledger.transit.asked_unix_s + self._settings.fresh_s
+        asked_until_unix_s = ledger.pending.asked_unix_s + self._settings.fresh_s
         return not self._settings.transfers or asked_until_unix_s >= self._clock.now_s()
 
     def _gone(self, held: HeldShard, entry: records.Stranded) -> int:
-        since_unix_s = held.sealed_since_unix_s(Side(entry.data_centre, entry.epoch))
+        since_unix_s = held.sealed_since_unix_s(HolderEpoch(entry.data_centre, entry.epoch))
         hopeful = since_unix_s + _HOPE_S > self._clock.now_s()
         return entry.settled if hopeful else entry.ceiling
 
--- a/packages/fleet/src/endivesaddle/fleet/budgets/epoch_usage.py
+++ b/packages/fleet/src/endivesaddle/fleet/budgets/epoch_usage.py
@@ -9,8 +9,8 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-from endivesaddle.fleet.budgets import moves, records
-from endivesaddle.fleet.budgets.ledger import Move
+from endivesaddle.fleet.budgets import direct_transfers, records
+from endivesaddle.fleet.budgets.ledger import DirectTransfer
 from endivesaddle.wire import holders_pb2
 
 HELD = 'budget_held'
@@ -19,9 +19,9 @@
 """State of a report's record: an open reservation of the holder itself."""
 SETTLED = 'budget_settled'
 """State of a report's record: a settled reservation of the holder itself."""
-MOVED = 'budget_moved'
+TRANSFERRED = 'budget_moved'
 """State of a report's record: a direct transfer not known to be in the store."""
-OWN_STATES = frozenset((HELD, RESERVED, SETTLED, MOVED))
+OWN_STATES = frozenset((HELD, RESERVED, SETTLED, TRANSFERRED))
 """States that only budgets understand; claims are not told of them."""
 _ENDED = 'ended'
 
@@ -50,14 +50,14 @@
 class EpochUsage:
     """The runs and transfers of one passed epoch, by account."""
 
-    def __init__(self, side: moves.Side) -> None:
+    def __init__(self, holder_epoch: direct_transfers.HolderEpoch) -> None:
         """Know nothing of a holder yet."""
-        self.side = side
+        self.holder_epoch = holder_epoch
         self.complete = False
         self.first_batch = 0
         self.runs: dict[str, dict[str, Run]] = {}
         self.late: dict[tuple[str, str], int] = {}
-        self.taken: dict[str, dict[str, Move]] = {}
+        self.received: dict[str, dict[str, DirectTransfer]] = {}
         self.given: dict[str, dict[str, int]] = {}
 
     def learn(self, routers: Reports, sidecars: Reports, known_batch: int) -> None:
@@ -67,8 +67,8 @@
         """
         runs: dict[tuple[str, str], _Reports] = {}
         for record in routers:
-            if record.state == MOVED:
-                self._move(record)
+            if record.state == TRANSFERRED:
+                self._add_transfer(record)
             elif record.state != HELD:
                 _of(runs, record).routers.append(record)
         for record in sidecars:
@@ -107,18 +107,18 @@
         ended = not given and not any(run.open for run in counted)
         return Release(ceiling, min(tokens, ceiling) if ended else -1)
 
-    def entered(self, account: str, kept: dict[str, records.Moved]) -> None:
+    def drop_recorded(self, account: str, kept: dict[str, records.RecordedTransfer]) -> None:
         """Count the given transfers no more that the store shows by now."""
         given = self.given.get(account, {})
         for transfer_id in [known for known in given if known in kept]:
             given.pop(transfer_id)
 
-    def _move(self, record: holders_pb2.Record) -> None:
-        transfer = moves.parse_id(record.request_key)
-        if transfer.receiver == self.side:
-            move = Move(*transfer.donor, record.bound_tokens)
-            self.taken.setdefault(record.account, {})[record.request_key] = move
-        if transfer.donor == self.side:
+    def _add_transfer(self, record: holders_pb2.Record) -> None:
+        parsed_id = direct_transfers.parse_id(record.request_key)
+        if parsed_id.receiver == self.holder_epoch:
+            transfer = DirectTransfer(*parsed_id.donor, record.bound_tokens)
+            self.received.setdefault(record.account, {})[record.request_key] = transfer
+        if parsed_id.donor == self.holder_epoch:
             given = self.given.setdefault(record.account, {})
             given[record.request_key] = record.bound_tokens
 
@@ -149,6 +149,6 @@
     return Run(min(bound, max(used, default=0)), batch, open=False)
 
 
-def side_of(record: holders_pb2.Record) -> moves.Side:
+def holder_epoch_of(record: holders_pb2.Record) -> direct_transfers.HolderEpoch:
     """Return which holder a report's record speaks of."""
-    return moves.Side(record.data_centre, record.epoch)
+    return direct_transfers.HolderEpoch(record.data_centre, record.epoch)
--- a/packages/fleet/src/endivesaddle/fleet/budgets/held.py
+++ b/packages/fleet/src/endivesaddle/fleet/budgets/held.py
@@ -3,9 +3,9 @@
 import anyio
 
 from endivesaddle.fleet.budgets import records
+from endivesaddle.fleet.budgets.direct_transfers import HolderEpoch
 from endivesaddle.fleet.budgets.epoch_usage import EpochUsage
 from endivesaddle.fleet.budgets.ledger import Ledger
-from endivesaddle.fleet.budgets.moves import Side
 from endivesaddle.fleet.budgets.records_store import Saved
 
 
@@ -38,9 +38,9 @@
         self.see(saved, now_unix_s)
 
     @property
-    def side(self) -> Side:
+    def holder_epoch(self) -> HolderEpoch:
         """This holder as one side of a transfer."""
-        return Side(self.data_centre, self.epoch)
+        return HolderEpoch(self.data_centre, self.epoch)
 
     @property
     def seen_unix_s(self) -> float:
@@ -97,9 +97,9 @@
         self._seen_unix_s = 0
         self.hurry()
 
-    def sealed_since_unix_s(self, side: Side) -> float:
+    def sealed_since_unix_s(self, holder_epoch: HolderEpoch) -> float:
         """Return when a passed epoch was seen here first; 0: never."""
-        return self._sealed_unix_s.get(records.sealed_key(*side), 0)
+        return self._sealed_unix_s.get(records.sealed_key(*holder_epoch), 0)
 
 
 def _past_epochs(record: records.ShardRecord, data_centre: str) -> dict[int, EpochUsage]:
@@ -107,5 +107,5 @@
     for name in record['sealed']:
         place, _, epoch = name.partition('/')
         if place == data_centre:
-            past_epochs[int(epoch)] = EpochUsage(Side(place, int(epoch)))
+            past_epochs[int(epoch)] = EpochUsage(HolderEpoch(place, int(epoch)))
     return past_epochs
--- a/packages/fleet/src/endivesaddle/fleet/budgets/ledger.py
+++ b/packages/fleet/src/endivesaddle/fleet/budgets/ledger.py
@@ -25,7 +25,7 @@
     at_unix_s: float
 
 
-class Move(NamedTuple):
+class DirectTransfer(NamedTuple):
     """A direct transfer that the store doesn't show yet; the other side and its epoch."""
 
     data_centre: str
@@ -41,28 +41,28 @@
     number: int = 0
 
 
-class Transit:
+class PendingTransfers:
     """Direct transfers of one account that the store doesn't show yet.
 
-    ``doubtful`` are questions without an answer; they are written as not received.
-    ``seen`` are given ones that a write of this holder has marked as seen, with what
+    ``unanswered`` are questions without an answer; they are written as not received.
+    ``acknowledged`` are given ones that a write of this holder has marked as seen, with what
     was received: the receiver may have removed them before the write was confirmed.
     """
 
     def __init__(self) -> None:
         """Start without any."""
-        self.taken: dict[str, Move] = {}
-        self.given: dict[str, Move] = {}
-        self.doubtful: dict[str, Move] = {}
-        self.seen: dict[str, int] = {}
+        self.received: dict[str, DirectTransfer] = {}
+        self.given: dict[str, DirectTransfer] = {}
+        self.unanswered: dict[str, DirectTransfer] = {}
+        self.acknowledged: dict[str, int] = {}
         self.asked_unix_s = 0.0
         self.gave_unix_s = 0.0
 
     @property
     def tokens(self) -> int:
         """Return what was taken less what was given."""
-        taken = sum(move.tokens for move in self.taken.values())
-        return taken - sum(move.tokens for move in self.given.values())
+        received = sum(transfer.tokens for transfer in self.received.values())
+        return received - sum(transfer.tokens for transfer in self.given.values())
 
 
 class Ledger:
@@ -76,7 +76,7 @@
         self.reserved = 0
         self.open: dict[str, Reservation] = {}
         self.ended: dict[str, Ended] = {}
-        self.transit = Transit()
+        self.pending = PendingTransfers()
         self.offering = 0
         self.folding = 0
         self.queue: list[Waiter] = []
@@ -91,7 +91,7 @@
     @property
     def ceiling(self) -> int:
         """What may be spent at most under this epoch."""
-        return self.stored - self.yielding + self.transit.tokens
+        return self.stored - self.yielding + self.pending.tokens
 
     @property
     def headroom(self) -> int:
@@ -159,8 +159,8 @@
     @property
     def is_done(self) -> bool:
         """Tell whether nothing is reserved, waiting or under way."""
-        transit = self.transit
-        moving = transit.taken or transit.given or transit.doubtful
+        pending = self.pending
+        moving = pending.received or pending.given or pending.unanswered
         return not (self.open or self.queue or moving or self._used_by_batch)
 
     def measure(self, elapsed_s: float) -> None:
--- a/packages/fleet/src/endivesaddle/fleet/budgets/record_format.py
+++ b/packages/fleet/src/endivesaddle/fleet/budgets/record_format.py
@@ -21,7 +21,7 @@
     grants: dict[str, records.Grant]
     stranded: list[records.Stranded]
     spent: int
-    moves: dict[str, records.Moved]
+    moves: dict[str, records.RecordedTransfer]
 
 
 class _StoredRecord(TypedDict):
@@ -92,6 +92,6 @@
         ]
         if any(not 0 <= entry.settled <= entry.ceiling for entry in entries):
             raise BadRecord(f'{account}: settled is not within its ceiling')
-        moved = min((move.tokens for move in budget['moves'].values()), default=0)
-        if budget['spent'] < 0 or moved < 0 or min(budget['top_ups'].values(), default=0) < 0:
+        transferred = min((transfer.tokens for transfer in budget['moves'].values()), default=0)
+        if budget['spent'] < 0 or transferred < 0 or min(budget['top_ups'].values(), default=0) < 0:
             raise BadRecord(f'{account}: negative tokens')
--- a/packages/fleet/src/endivesaddle/fleet/budgets/records.py
+++ b/packages/fleet/src/endivesaddle/fleet/budgets/records.py
@@ -43,15 +43,15 @@
     batch: int
 
 
-class Moved(NamedTuple):
+class RecordedTransfer(NamedTuple):
     """A direct transfer as the receiver entered it; 0 tokens: it was never received.
 
-    ``seen`` is set by the donor, which then counts it no more; the receiver removes
+    ``acknowledged`` is set by the donor, which then counts it no more; the receiver removes
     it afterwards, so that neither side can apply it twice after a lost answer.
     """
 
     tokens: int
-    seen: bool
+    acknowledged: bool
 
 
 class Holder(TypedDict):
@@ -83,7 +83,7 @@
     grants: dict[str, Grant]
     stranded: list[Stranded]
     spent: int
-    moves: dict[str, Moved]
+    moves: dict[str, RecordedTransfer]
 
 
 class ShardRecord(TypedDict):
--- a/packages/fleet/src/endivesaddle/fleet/budgets/recovery.py
+++ b/packages/fleet/src/endivesaddle/fleet/budgets/recovery.py
@@ -7,9 +7,9 @@
 import anyio
 
 from endivesaddle.fleet.budgets import epoch_usage, events, min_epochs, records, sidecars
+from endivesaddle.fleet.budgets.direct_transfers import HolderEpoch
 from endivesaddle.fleet.budgets.errors import BadRecord, RecordWriteUnconfirmed
 from endivesaddle.fleet.budgets.held import HeldShard
-from endivesaddle.fleet.budgets.moves import Side
 from endivesaddle.fleet.budgets.settings import BudgetSettings
 from endivesaddle.fleet.clock import Clock
 from endivesaddle.fleet.errors import PeerNoReply, PeerRefused, PeerUnreachable, StoreUnreachable
@@ -47,10 +47,10 @@
         ]
         return sidecars.fingerprint_of(known, servers)
 
-    def held(self) -> set[Side]:
+    def held(self) -> set[HolderEpoch]:
         """Return the holders that answered, with what they remember."""
         return {
-            Side(record.data_centre, record.epoch)
+            HolderEpoch(record.data_centre, record.epoch)
             for reply in self.routers
             for record in reply.seal.records
             if record.state == epoch_usage.HELD
@@ -129,8 +129,8 @@
         known_batch = self._known_batch(past, answers)
         usage.learn(_about(usage, answers.routers), _about(usage, answers.sidecars), known_batch)
         held_there = answers.held()
-        others = {Side(name, number) for name, number in past['others'].items()}
-        if usage.side in held_there:
+        others = {HolderEpoch(name, number) for name, number in past['others'].items()}
+        if usage.holder_epoch in held_there:
             self._prove(held, usage, 0)
         elif known_batch < _NEVER and others <= held_there:
             self._prove(held, usage, known_batch)
@@ -139,7 +139,7 @@
 
     def _prove(self, held: HeldShard, usage: epoch_usage.EpochUsage, first_batch: int) -> None:
         if not usage.complete:
-            events.SEALED.log(shard=held.shard, epoch=usage.side.epoch)
+            events.SEALED.log(shard=held.shard, epoch=usage.holder_epoch.epoch)
             usage.first_batch = first_batch
         usage.first_batch = min(usage.first_batch, first_batch)
         usage.complete = True
@@ -206,5 +206,6 @@
         record
         for reply in replies
         for record in reply.seal.records
-        if record.state == epoch_usage.MOVED or epoch_usage.side_of(record) == usage.side
+        if record.state == epoch_usage.TRANSFERRED
+        or epoch_usage.holder_epoch_of(record) == usage.holder_epoch
     ]
--- a/packages/fleet/src/endivesaddle/fleet/budgets/releasing.py
+++ b/packages/fleet/src/endivesaddle/fleet/budgets/releasing.py
@@ -1,6 +1,6 @@
 """Release what was stranded, as part of a holder's write."""
 
-from endivesaddle.fleet.budgets import moves, records
+from endivesaddle.fleet.budgets import direct_transfers, records
 from endivesaddle.fleet.budgets.epoch_usage import EpochUsage
 
 
@@ -10,11 +10,13 @@
         return False
     changed = False
     for account, budget in record['budgets'].items():
-        for transfer_id, move in usage.taken.get(account, {}).items():
+        for transfer_id, transfer in usage.received.get(account, {}).items():
             fresh = transfer_id not in budget['moves']
-            entered = moves.enter(record, account, transfer_id, move, usage.side)
-            changed = changed or (fresh and entered)
-        usage.entered(account, budget['moves'])
+            recorded = direct_transfers.record_transfer(
+                record, account, transfer_id, transfer, usage.holder_epoch
+            )
+            changed = changed or (fresh and recorded)
+        usage.drop_recorded(account, budget['moves'])
         changed = _release(budget, account, usage) or changed
     return forget(record, usage) or changed
 
@@ -22,9 +24,11 @@
 def forget(record: records.ShardRecord, usage: EpochUsage) -> bool:
     """Forget a passed holder when no stranded tokens refer to it."""
     for budget in record['budgets'].values():
-        if any((entry.data_centre, entry.epoch) == usage.side for entry in budget['stranded']):
+        if any(
+            (entry.data_centre, entry.epoch) == usage.holder_epoch for entry in budget['stranded']
+        ):
             return False
-    return record['sealed'].pop(records.sealed_key(*usage.side), None) is not None
+    return record['sealed'].pop(records.sealed_key(*usage.holder_epoch), None) is not None
 
 
 def _release(budget: records.Budget, account: str, usage: EpochUsage) -> bool:
@@ -32,7 +36,7 @@
     budget['stranded'] = []
     for entry in before:
         kept: records.Stranded | None = entry
-        if (entry.data_centre, entry.epoch) == usage.side:
+        if (entry.data_centre, entry.epoch) == usage.holder_epoch:
             kept = _rest(budget, entry, account, usage)
         if kept is not None:
             budget['stranded'].append(kept)
--- a/packages/fleet/src/endivesaddle/fleet/budgets/reports.py
+++ b/packages/fleet/src/endivesaddle/fleet/budgets/reports.py
@@ -12,7 +12,7 @@
     for account, ledger in held.ledgers.items():
         grant = held.budget(account)['grants'].get(held.data_centre)
         report.extend(_runs(held, account, ledger, 0 if grant is None else grant.batch))
-        report.extend(moved_report(held, account, ledger))
+        report.extend(transfer_report(held, account, ledger))
     return report
 
 
@@ -26,17 +26,18 @@
     """
     report = [_record(held, epoch_usage.HELD)]
     for account, ledger in held.ledgers.items():
-        for transfer_id, move in {**ledger.transit.taken, **ledger.transit.given}.items():
-            if move.data_centre == data_centre and move.epoch < below_epoch:
-                report.append(_moved(held, account, transfer_id, move.tokens))
+        for transfer_id, transfer in {**ledger.pending.received, **ledger.pending.given}.items():
+            if transfer.data_centre == data_centre and transfer.epoch < below_epoch:
+                report.append(_transferred(held, account, transfer_id, transfer.tokens))
     return report
 
 
-def moved_report(held: HeldShard, account: str, ledger: Ledger) -> list[holders_pb2.Record]:
+def transfer_report(held: HeldShard, account: str, ledger: Ledger) -> list[holders_pb2.Record]:
     """Return the direct transfers that the store doesn't show yet."""
-    pending = {**ledger.transit.taken, **ledger.transit.given}
+    pending = {**ledger.pending.received, **ledger.pending.given}
     return [
-        _moved(held, account, transfer_id, move.tokens) for transfer_id, move in pending.items()
+        _transferred(held, account, transfer_id, transfer.tokens)
+        for transfer_id, transfer in pending.items()
     ]
 
 
@@ -69,9 +70,11 @@
     return reserved + settled
 
 
-def _moved(held: HeldShard, account: str, transfer_id: str, tokens: int) -> holders_pb2.Record:
+def _transferred(
+    held: HeldShard, account: str, transfer_id: str, tokens: int
+) -> holders_pb2.Record:
     return _record(
-        held, epoch_usage.MOVED, account=account, request_key=transfer_id, bound_tokens=tokens
+        held, epoch_usage.TRANSFERRED, account=account, request_key=transfer_id, bound_tokens=tokens
     )
 
 
--- a/packages/fleet/src/endivesaddle/fleet/budgets/shard_update.py
+++ b/packages/fleet/src/endivesaddle/fleet/budgets/shard_update.py
@@ -5,10 +5,10 @@
 """
 
 from endivesaddle.fleet.budgets import records
+from endivesaddle.fleet.budgets.direct_transfers import TransferUpdate
 from endivesaddle.fleet.budgets.errors import EpochSuperseded
 from endivesaddle.fleet.budgets.held import HeldShard
 from endivesaddle.fleet.budgets.ledger import Ledger
-from endivesaddle.fleet.budgets.moves import Exchange
 from endivesaddle.fleet.budgets.releasing import release
 from endivesaddle.fleet.budgets.settings import BudgetSettings
 
@@ -43,7 +43,7 @@
         self._now_unix_s = now_unix_s
         self._ceilings: dict[str, int] = {}
         self._folded: set[str] = set()
-        self._exchanges: dict[str, Exchange] = {}
+        self._transfer_updates: dict[str, TransferUpdate] = {}
         self._yielding = {name: ledger.yielding for name, ledger in held.ledgers.items()}
         self._in_doubt = held.in_doubt
         held.batch = max(held.batch + 1, int(now_unix_s))
@@ -80,7 +80,7 @@
         held = self._held
         for account, ceiling in self._ceilings.items():
             ledger = held.ledgers[account]
-            self._exchanges[account].confirm(ledger)
+            self._transfer_updates[account].confirm(ledger)
             ledger.stored = ceiling
             ledger.yielding = 0
             ledger.offering = 0
@@ -90,7 +90,7 @@
         held.in_doubt = False
         held.receivers = dict(record['holders'][held.data_centre]['others'])
         for epoch, usage in list(held.past_epochs.items()):
-            if records.sealed_key(*usage.side) not in record['sealed']:
+            if records.sealed_key(*usage.holder_epoch) not in record['sealed']:
                 held.past_epochs.pop(epoch)
 
     def cancel(self) -> None:
@@ -120,7 +120,7 @@
         # when this holder is lost, its successor has to ask just that epoch.
         for ledger in held.ledgers.values():
             own['others'].update(
-                (move.data_centre, move.epoch) for move in ledger.transit.given.values()
+                (transfer.data_centre, transfer.epoch) for transfer in ledger.pending.given.values()
             )
         for data_centre, epoch in list(held.receivers.items()):
             if own['others'].get(data_centre) != epoch:
@@ -130,15 +130,15 @@
     def _grant(self, account: str, budget: records.Budget, record: records.ShardRecord) -> bool:
         held = self._held
         ledger = held.ledgers[account]
-        exchange = Exchange(record, account, held.side)
-        self._exchanges[account] = exchange
+        transfer_update = TransferUpdate(record, account, held.holder_epoch)
+        self._transfer_updates[account] = transfer_update
         # First, as a transfer that is entered would hide that the grant is folded.
         changed = self._unfold(budget, ledger)
-        changed = exchange.apply(ledger) or changed
+        changed = transfer_update.apply(ledger) or changed
         grant = budget['grants'].get(held.data_centre, _NOTHING)
-        ceiling = self._ceiling(budget, grant, ledger, exchange.shifted_tokens)
+        ceiling = self._ceiling(budget, grant, ledger, transfer_update.ceiling_change_tokens)
         self._ceilings[account] = ceiling
-        shown = ledger.stored + exchange.shifted_tokens
+        shown = ledger.stored + transfer_update.ceiling_change_tokens
         # Where an earlier write is in doubt there is something to write, for its own sake.
         changed = changed or shown != grant.ceiling or bool(ledger.yielding or ledger.folding)
         # Tokens may be freed here from now on: stop using them before this is sent.
@@ -190,11 +190,15 @@
         return grant.batch < min(wanted.batch, oldest)
 
     def _ceiling(
-        self, budget: records.Budget, grant: records.Grant, ledger: Ledger, shifted_tokens: int
+        self,
+        budget: records.Budget,
+        grant: records.Grant,
+        ledger: Ledger,
+        ceiling_change_tokens: int,
     ) -> int:
         # What the record has to grant at least: all that is reserved and settled, less
         # the tokens that came directly and aren't in it, plus those that went and are.
-        beyond = ledger.ceiling - (ledger.stored - ledger.yielding) - shifted_tokens
+        beyond = ledger.ceiling - (ledger.stored - ledger.yielding) - ceiling_change_tokens
         committed = ledger.settled + ledger.reserved - beyond
         queued = ledger.queued_tokens
         headroom = grant.ceiling - committed
@@ -205,7 +209,7 @@
             return committed + queued + target
         if headroom - queued >= target // _LOW_PART:
             return grant.ceiling
-        if ledger.transit.gave_unix_s + self._settings.fresh_s > self._now_unix_s:
+        if ledger.pending.gave_unix_s + self._settings.fresh_s > self._now_unix_s:
             # Leave what was just given back to the holder that asked for it.
             return grant.ceiling
         wanted = queued + target - headroom
--- a/packages/fleet/src/endivesaddle/fleet/budgets/transfers.py
+++ b/packages/fleet/src/endivesaddle/fleet/budgets/transfers.py
@@ -11,9 +11,9 @@
 import anyio
 
 from endivesaddle.fleet.budgets import events
+from endivesaddle.fleet.budgets.direct_transfers import HolderEpoch, TransferId, parse_id
 from endivesaddle.fleet.budgets.held import HeldShard
-from endivesaddle.fleet.budgets.ledger import Ledger, Move
-from endivesaddle.fleet.budgets.moves import MoveId, Side, parse_id
+from endivesaddle.fleet.budgets.ledger import DirectTransfer, Ledger
 from endivesaddle.fleet.budgets.records import Grant
 from endivesaddle.fleet.budgets.settings import BudgetSettings
 from endivesaddle.fleet.budgets.shard_manager import ShardManager
@@ -31,7 +31,7 @@
     """One question for headroom to another data centre's holder."""
 
     transfer_id: str
-    donor: Side
+    donor: HolderEpoch
     address: str
     tokens: int
 
@@ -60,9 +60,9 @@
         request waits for the slowest answer only once.
         """
         ledger = held.ledger(account)
-        if ledger.transit.asked_unix_s + self._settings.retry_s > self._clock.now_s():
+        if ledger.pending.asked_unix_s + self._settings.retry_s > self._clock.now_s():
             return
-        ledger.transit.asked_unix_s = self._clock.now_s()
+        ledger.pending.asked_unix_s = self._clock.now_s()
         asks = self._asks(held, account, wanted_tokens)
         async with anyio.create_task_group() as tasks:
             for ask in asks:
@@ -73,12 +73,12 @@
         held = self._shard_manager.held_shards.get(shard_of(message.account))
         if held is None or held.stop_reason:
             return holders_pb2.TransferReply(reason='not the holder')
-        transfer = _parsed(message)
-        if transfer is None or transfer.donor != held.side:
+        parsed_id = _parsed(message)
+        if parsed_id is None or parsed_id.donor != held.holder_epoch:
             return holders_pb2.TransferReply(reason='meant for another epoch')
         ledger = held.ledger(message.account)
         if message.direct or not held.reachable:
-            return self._give_directly(held, ledger, message, transfer)
+            return self._give_directly(held, ledger, message, parsed_id)
         return await self._give_back(held, ledger, message)
 
     def _asks(self, held: HeldShard, account: str, wanted_tokens: int) -> list[Ask]:
@@ -88,13 +88,13 @@
             grant = grants.get(data_centre, _NOTHING)
             rich = grant.ceiling > grant.settled or not held.reachable
             if data_centre != held.data_centre and rich:
-                donor = Side(data_centre, holder['epoch'])
+                donor = HolderEpoch(data_centre, holder['epoch'])
                 asks.append(self._question(held, donor, holder['address'], wanted_tokens))
         return asks
 
-    def _question(self, held: HeldShard, donor: Side, address: str, tokens: int) -> Ask:
+    def _question(self, held: HeldShard, donor: HolderEpoch, address: str, tokens: int) -> Ask:
         self._asked += 1
-        transfer_id = str(MoveId(donor, held.side, str(self._asked)))
+        transfer_id = str(TransferId(donor, held.holder_epoch, str(self._asked)))
         return Ask(transfer_id, donor, address, tokens)
 
     async def _ask(self, held: HeldShard, account: str, ask: Ask) -> None:
@@ -124,7 +124,7 @@
 
     def _doubt(self, held: HeldShard, ledger: Ledger, ask: Ask) -> None:
         # The donor may have given: the store is told that nothing was received.
-        ledger.transit.doubtful[ask.transfer_id] = Move(*ask.donor, ask.tokens)
+        ledger.pending.unanswered[ask.transfer_id] = DirectTransfer(*ask.donor, ask.tokens)
         held.dirty = True
 
     def _take(
@@ -134,14 +134,14 @@
             if reply.tokens:
                 held.look_again()
             return
-        move = Move(*ask.donor, reply.tokens)
-        sealed = move.epoch < self._shard_manager.min_epoch(held.shard, move.data_centre)
+        transfer = DirectTransfer(*ask.donor, reply.tokens)
+        sealed = transfer.epoch < self._shard_manager.min_epoch(held.shard, transfer.data_centre)
         held.dirty = True
         if sealed or held.stop_reason:
             # The seal was answered without these tokens: they can't be used any more.
-            ledger.transit.doubtful[ask.transfer_id] = move
+            ledger.pending.unanswered[ask.transfer_id] = transfer
             return
-        ledger.transit.taken[ask.transfer_id] = move
+        ledger.pending.received[ask.transfer_id] = transfer
         held.tell()
 
     def _give_directly(
@@ -149,18 +149,18 @@
         held: HeldShard,
         ledger: Ledger,
         message: holders_pb2.TransferRequest,
-        transfer: MoveId,
+        parsed_id: TransferId,
     ) -> holders_pb2.TransferReply:
-        before = ledger.transit.given.get(message.transfer_id)
+        before = ledger.pending.given.get(message.transfer_id)
         if before is not None:
             return _given(held, before.tokens)
-        receiver = transfer.receiver
+        receiver = parsed_id.receiver
         if held.receivers.get(receiver.data_centre) != receiver.epoch:
             return holders_pb2.TransferReply(reason='the store names another receiver')
         tokens = self._spare(held, ledger, message)
         if tokens <= 0:
             return holders_pb2.TransferReply(reason='no headroom')
-        ledger.transit.given[message.transfer_id] = Move(*receiver, tokens)
+        ledger.pending.given[message.transfer_id] = DirectTransfer(*receiver, tokens)
         held.dirty = True
         events.GAVE.log(account=message.account, tokens=tokens, to=receiver.data_centre)
         return _given(held, tokens)
@@ -172,7 +172,7 @@
         if tokens <= 0:
             return holders_pb2.TransferReply(reason='no headroom')
         ledger.offering = max(ledger.offering, tokens)
-        ledger.transit.gave_unix_s = self._clock.now_s()
+        ledger.pending.gave_unix_s = self._clock.now_s()
         await self._shard_manager.write(held)
         reason = 'given back to the store' if held.reachable else 'the store is not reached'
         return holders_pb2.TransferReply(tokens=tokens, from_epoch=held.epoch, reason=reason)
@@ -186,7 +186,7 @@
         return min(spare, max(message.wanted_tokens, spare // _HALF))
 
 
-def _parsed(message: holders_pb2.TransferRequest) -> MoveId | None:
+def _parsed(message: holders_pb2.TransferRequest) -> TransferId | None:
     try:
         return parse_id(message.transfer_id)
     except ValueError:
--- a/packages/fleet/src/endivesaddle/fleet/budgets/write_offs.py
+++ b/packages/fleet/src/endivesaddle/fleet/budgets/write_offs.py
@@ -6,7 +6,7 @@
 """
 
 from endivesaddle.fleet.budgets import records
-from endivesaddle.fleet.budgets.moves import Side
+from endivesaddle.fleet.budgets.direct_transfers import HolderEpoch
 from endivesaddle.fleet.budgets.top_ups import Accepted, NotAccepted, Refused, Unknown, save
 from endivesaddle.fleet.clock import Clock
 from endivesaddle.fleet.ports import Store
@@ -16,7 +16,7 @@
     store: Store,
     clock: Clock,
     account: str,
-    side: Side,
+    holder_epoch: HolderEpoch,
     spent_tokens: int,
     deadline_unix_s: float,
 ) -> Accepted | Unknown | NotAccepted:
@@ -31,12 +31,14 @@
     def change(record: records.ShardRecord) -> bool:
         nonlocal tried  # noqa: WPS420 (a lost answer is told from a wrong call by it)
         budget = record['budgets'].get(account) or records.new_budget()
-        entries = [entry for entry in budget['stranded'] if (entry[0], entry[1]) == side]
+        entries = [entry for entry in budget['stranded'] if (entry[0], entry[1]) == holder_epoch]
         if not entries and tried:
             # The answer to this call's own write was lost; "no" would be false.
             return False
         if not entries:
-            raise Refused(f'{account} has nothing stranded of {side.data_centre}/{side.epoch}')
+            raise Refused(
+                f'{account} has nothing stranded of {holder_epoch.data_centre}/{holder_epoch.epoch}'
+            )
         entry = entries[0]
         if not entry.settled <= spent_tokens <= entry.ceiling:
             raise Refused(f'between {entry.settled} and {entry.ceiling} tokens were spent')
--- a/packages/operators/src/endivesaddle/operators/budget_desk.py
+++ b/packages/operators/src/endivesaddle/operators/budget_desk.py
@@ -9,8 +9,8 @@
 from typing import NamedTuple
 
 from endivesaddle.fleet.budgets import records, top_ups, write_offs
+from endivesaddle.fleet.budgets.direct_transfers import HolderEpoch
 from endivesaddle.fleet.budgets.errors import BadRecord, RecordWriteUnconfirmed
-from endivesaddle.fleet.budgets.moves import Side
 from endivesaddle.fleet.budgets.records_store import RecordStore
 from endivesaddle.fleet.clock import Clock
 from endivesaddle.fleet.configuration import shard_of
@@ -56,11 +56,11 @@
         return await top_ups.balance(self._store, self._clock, account, deadline_unix_s)
 
     async def write_off(
-        self, account: str, side: Side, spent_tokens: int, deadline_unix_s: float
+        self, account: str, holder_epoch: HolderEpoch, spent_tokens: int, deadline_unix_s: float
     ) -> top_ups.Accepted | top_ups.Unknown | top_ups.NotAccepted:
         """Count tokens of a lost holder as spent and free the rest."""
         return await write_offs.write_off(
-            self._store, self._clock, account, side, spent_tokens, deadline_unix_s
+            self._store, self._clock, account, holder_epoch, spent_tokens, deadline_unix_s
         )
 
     async def shortfalls(
--- a/packages/operators/src/endivesaddle/operators/commands/write_off.py
+++ b/packages/operators/src/endivesaddle/operators/commands/write_off.py
@@ -3,7 +3,7 @@
 import functools
 
 from endivesaddle.fleet.budgets import top_ups
-from endivesaddle.fleet.budgets.moves import Side
+from endivesaddle.fleet.budgets.direct_transfers import HolderEpoch
 from endivesaddle.operators import arguments
 from endivesaddle.operators.acts import act
 from endivesaddle.operators.command import command
@@ -36,11 +36,11 @@
 
 async def _write_off(desk: Desk, words: Words, deadline_unix_s: float) -> Reply:
     account, tokens = words['account'], words['tokens']
-    side = Side(words['data_centre'], words['epoch'])
-    outcome = await desk.budgets.write_off(account, side, tokens, deadline_unix_s)
+    holder_epoch = HolderEpoch(words['data_centre'], words['epoch'])
+    outcome = await desk.budgets.write_off(account, holder_epoch, tokens, deadline_unix_s)
     match outcome:
         case top_ups.Accepted(total_tokens):
-            heading = f'accepted: {account}, {tokens} tokens of {side.data_centre} spent'
+            heading = f'accepted: {account}, {tokens} tokens of {holder_epoch.data_centre} spent'
             return Reply(messages=[heading], details={'total_tokens': total_tokens})
         case top_ups.NotAccepted(reason):
             return not_accepted(reason)
