--- a/features/requests_chaos.feature
+++ b/features/requests_chaos.feature
@@ -1,13 +1,13 @@
-Feature: Requests under several faults at once
-  One request and up to two retries of it, with one to three faults at random moments:
-  routers, holders and sidecars die or restart, engines break off, links are cut, silent,
-  lossy or deliver twice, data centres part, instances pause. Each seed draws another
-  course; the same seed always plays the same.
+Feature: Requests under several simultaneous faults
+  One request and up to two retries of it, with one to three faults at random times: routers,
+  holders and sidecars die or restart, engines break off, connections are cut, silent, lossy
+  or deliver twice, data centres are partitioned, instances pause. Each seed draws another
+  sequence; the same seed always gives the same one.
 
-  Scenario Outline: Whatever happens, what the callers hear is true
-    Callers see a whole answer of one run, or a refusal that is true.
-    What may not be repeated runs at most once, every request is billed at most once, an
-    answer that was heard is billed, and nothing stays reserved.
+  Scenario Outline: Answers, refusals and bills are correct under random faults
+    Callers get a whole answer of one run, or a correct refusal.
+    A request that may not be repeated runs at most once, every request is billed at most
+    once, an answer that was received is billed, and nothing stays reserved.
     When requests chaos: the seeds from <first> to <last> are played
     Then requests chaos: no promise is broken
     And requests chaos: at least half of all calls are answered
--- a/features/requests_faults.feature
+++ b/features/requests_faults.feature
@@ -1,20 +1,20 @@
 Feature: Requests under faults
-  What callers hear when routers, sidecars, holders and links fail at a step of a request.
+  What callers get when routers, sidecars, holders and connections fail during a request.
 
-  Scenario: A router dies with a stream open
+  Scenario: A router dies during a streamed answer
     The caller's connection breaks after four tokens; the retry, at a router of the other
-    data centre, sees the whole answer from its first token.
-    The run goes on at the sidecar; the retry's holder asks, learns of it and attaches.
+    data centre, gets the whole answer from its first token.
+    The run continues at the sidecar; the holder of the retry learns of it by a retry query.
     Given requests: a fleet in two data centres
-    When requests: a router dies in the middle and the caller retries elsewhere
+    When requests: a router dies during the answer and the caller retries in another data centre
     Then requests: ana again has the whole answer of server A
     And requests: backend servers ran it 1 times
     And requests: it is billed 8 tokens once
 
-  Scenario Outline: A router dies on the way to the run
-    The caller's connection breaks; the retry sees the whole answer.
-    The claim, or the dispatch, is noted at the holder; the retry's router goes on from
-    there, as a start is idempotent and a claim that isn't dispatched is taken over.
+  Scenario Outline: A router dies before the run starts
+    The caller's connection breaks; the retry gets the whole answer.
+    The holder has the claim, or the dispatch, and the router of the retry continues from
+    there: a START is idempotent, and a claim that isn't dispatched is taken over.
     Given requests: a fleet in two data centres
     When requests: <play>
     Then requests: ana again has the whole answer of server A
@@ -22,157 +22,159 @@
     And requests: it is billed 8 tokens once
 
     Examples:
-      | play                                         |
-      | a router dies between dispatch and start     |
-      | a router dies with nothing but its claim     |
+      | play                                                  |
+      | a router dies between dispatch and start              |
+      | a router dies after its claim and before the dispatch |
 
-  Scenario: A sidecar dies under an answer in one piece
-    The caller sees one whole answer of the other server, later.
-    Nothing was handed out yet and the request may be repeated: it is run again under
+  Scenario: A sidecar dies during an unstreamed answer
+    The caller gets one whole answer of the other server, later.
+    Nothing was sent to the caller yet and the request may be repeated: it is run again under
     the same reservation, and the second attempt is billed.
     Given requests: a fleet in two data centres
-    When requests: the sidecar dies under an answer in one piece
+    When requests: the sidecar dies during an unstreamed answer
     Then requests: ana has the whole answer of server B
     And requests: backend servers ran it 2 times
     And requests: it is billed 8 tokens once
 
-  Scenario: A sidecar dies under a streamed answer
-    The caller sees four tokens and then a truthful error, never a mix of two runs.
-    What was generated is not known, so the worst case stays reserved until the sidecar
-    reports or the request's stored deadline for it passes.
+  Scenario: A sidecar dies during a streamed answer
+    The caller gets four tokens and then a correct error, never a mix of two runs.
+    The number of tokens generated is not known, so the worst case stays reserved until the
+    sidecar reports it or the stored deadline for reports passes.
     Given requests: a fleet in two data centres
-    When requests: the sidecar dies under a streamed answer
-    Then requests: ana is refused with answer_broken and hears not_run false
+    When requests: the sidecar dies during a streamed answer
+    Then requests: ana is refused with answer_broken and not_run false
     And requests: ana got "A0 A1 A2 A3" first
     And requests: it is not billed and 20 tokens stay reserved
 
-  Scenario: A sidecar dies under a request that may not be repeated
-    The caller sees "unknown", and so does its retry.
-    Whether the server finished isn't known to anybody, so it is run no second time.
+  Scenario: A sidecar dies during a request that may not be repeated
+    The caller gets "unknown", and so does its retry.
+    No instance knows whether the server finished, so the request is not run again.
     Given requests: a fleet in two data centres
-    When requests: the sidecar dies under a request that may not be repeated
-    Then requests: ana is refused with outcome_unknown and hears not_run unknown
-    And requests: ana again is refused with outcome_unknown and hears not_run unknown
+    When requests: the sidecar dies during a request that may not be repeated
+    Then requests: ana is refused with outcome_unknown and not_run unknown
+    And requests: ana again is refused with outcome_unknown and not_run unknown
     And requests: backend servers ran it 1 times
     And requests: it is not billed and 20 tokens stay reserved
 
-  Scenario: An attempt that was given up answers after all
-    The caller sees "no server took it", and that it may have run; its retry sees the
-    answer. The first attempt was given up while its sidecar was out of reach, the others
-    were refused. No attempt is under way in its place when it reports, so that it is the
-    answer and is billed; the claim isn't closed as "did not run".
+  Scenario: An attempt that was given up answers late
+    The caller gets "no server took it", and that the request may have run; its retry gets the
+    answer. The first attempt was given up while its sidecar was unreachable, and the others
+    were refused. No other attempt is running when the first one reports, so its answer is
+    billed; the claim isn't closed as "did not run".
     Given requests: a fleet in two data centres
-    When requests: an attempt is given up, the next is refused, and the first answers after all
-    Then requests: ana is refused with no_server_took_it and hears not_run unknown
+    When requests: an attempt is given up, the next is refused, and the first answers late
+    Then requests: ana is refused with no_server_took_it and not_run unknown
     And requests: the note "billed before the retry" says 1
     And requests: ana again has the whole answer of server A
     And requests: backend servers ran it 1 times
     And requests: it is billed 8 tokens once
 
-  Scenario: An attempt is given up for good
-    The caller sees "no server took it", and that it may have run.
+  Scenario: An attempt that was given up never answers
+    The caller gets "no server took it", and that the request may have run.
     The later attempts were refused and withdrawn, so that none is dispatched when the
-    deadline passes; the first one may have run all the same, and is billed as unknown.
+    deadline passes. The first one may still have run, and is billed as unknown.
     Given requests: a fleet in two data centres
-    When requests: an attempt is given up for good and the next is refused
-    Then requests: ana is refused with no_server_took_it and hears not_run unknown
+    When requests: an attempt is given up and never answers, and the next is refused
+    Then requests: ana is refused with no_server_took_it and not_run unknown
     And requests: it is billed 20 tokens once
 
-  Scenario: A holder dies under a provisional run
-    The first caller sees its answer; the second one's connection breaks with the holder.
-    The provisional run goes on, and its sidecar reports it to the successor, which can't
-    know that it is provisional. It asks the other data centre and gives way.
+  Scenario: A holder dies during a provisional run
+    The first caller gets its answer; the connection of the second one breaks, as the holder
+    was its router. The provisional run continues, and its sidecar reports it to the
+    successor, which can't know that it is provisional. The successor queries the other data
+    centre and bills nothing.
     Given requests: a fleet in two data centres
-    When requests: a holder dies under a provisional run of a request that ran elsewhere
+    When requests: a holder dies during a provisional run of a request that ran in another data centre
     Then requests: ana has the whole answer of server A
     And requests: backend servers ran it 2 times
     And requests: it is billed 8 tokens once
     And requests: it is billed in porto-a
 
-  Scenario: A run that was given up goes on
-    The caller sees "unknown"; its retry, with the sidecar in reach again, the whole answer.
-    The holder doesn't stop the run: it is not to be repeated, and its deadline hasn't
-    passed. The retry is not started, only followed.
+  Scenario: A run that was given up continues
+    The caller gets "unknown"; its retry, with the sidecar reachable again, the whole answer.
+    The holder doesn't stop the run, as it may not be repeated and its deadline hasn't
+    passed. The retry starts nothing and only follows the run.
     Given requests: a fleet in two data centres
-    When requests: a sidecar out of reach is given up, runs on, and comes back
-    Then requests: ana is refused with outcome_unknown and hears not_run unknown
+    When requests: an unreachable sidecar is given up, continues its run, and is reachable again
+    Then requests: ana is refused with outcome_unknown and not_run unknown
     And requests: ana again has the whole answer of server A
-    And requests: no engine was told to stop
+    And requests: no run was cancelled
     And requests: it is billed 8 tokens once
 
-  Scenario: A sidecar is restarted and its run forgotten
-    The caller sees "unknown". Nobody will report the run any more, so that the worst case
-    is billed without waiting for the stored deadline.
+  Scenario: A sidecar is restarted and loses its run
+    The caller gets "unknown". No instance can report the run any more, so the worst case is
+    billed without waiting for the stored deadline.
     Given requests: a fleet in two data centres
-    When requests: a sidecar is restarted under a request that may not be repeated
-    Then requests: ana is refused with outcome_unknown and hears not_run unknown
+    When requests: a sidecar is restarted during a request that may not be repeated
+    Then requests: ana is refused with outcome_unknown and not_run unknown
     And requests: it is billed 20 tokens once
 
-  Scenario: A sidecar restarts between a start and its repetition
-    The caller sees "unknown".
-    The start was carried out and its reply lost; the sidecar restarts at the same
-    address and is sent the start again. It has forgotten the run, but the message names
-    the incarnation that was chosen, so it doesn't run the request a second time.
+  Scenario: A sidecar restarts between a START and its retry
+    The caller gets "unknown".
+    The START was carried out and its reply lost; the sidecar restarts at the same address and
+    receives the START again. It has lost the run, but the message names the chosen
+    incarnation, so it doesn't run the request a second time.
     Given requests: a fleet in two data centres
-    When requests: the sidecar restarts between a start and its repetition
-    Then requests: ana is refused with outcome_unknown and hears not_run unknown
+    When requests: the sidecar restarts between a START and its retry
+    Then requests: ana is refused with outcome_unknown and not_run unknown
     And requests: backend servers ran it 1 times
 
-  Scenario: An engine breaks off before anything was handed out
-    The caller sees one whole answer, of the other server.
+  Scenario: An engine breaks off before any output was passed on
+    The caller gets one whole answer, of the other server.
     Given requests: a fleet in two data centres
-    When requests: the engine breaks off before anything was handed out
+    When requests: the engine breaks off before any output was passed on
     Then requests: ana has the whole answer of server B
     And requests: backend servers ran it 2 times
     And requests: it is billed 8 tokens once
 
-  Scenario: An engine breaks off under what may not be repeated
-    The caller sees "unknown": whether the engine finished isn't known.
-    Its sidecar lives and reports the three tokens that it saw; these are billed.
+  Scenario: An engine breaks off during a request that may not be repeated
+    The caller gets "unknown": whether the engine finished isn't known.
+    The sidecar still runs and reports the three tokens that it received; these are billed.
     Given requests: a fleet in two data centres
-    When requests: the engine breaks off in the middle of what may not be repeated
-    Then requests: ana is refused with outcome_unknown and hears not_run unknown
+    When requests: the engine breaks off during a request that may not be repeated
+    Then requests: ana is refused with outcome_unknown and not_run unknown
     And requests: backend servers ran it 1 times
     And requests: it is billed 3 tokens once
 
-  Scenario: An engine is out of reach for a request that may not be repeated
-    The caller sees the whole answer of the other server.
-    The first sidecar says that its engine never got the request; only so may it be
-    dispatched again.
+  Scenario: An engine is unreachable for a request that may not be repeated
+    The caller gets the whole answer of the other server.
+    The request may be dispatched again only because the first sidecar replies that its
+    engine never received it.
     Given requests: a fleet in two data centres
-    When requests: the engine of the first server is out of reach
+    When requests: the engine of the first server is unreachable
     Then requests: ana has the whole answer of server B
     And requests: backend servers ran it 1 times
     And requests: it is billed 8 tokens once
 
-  Scenario: A start is refused while the same start of another router is on its way
-    Both callers see the one answer, of the other server.
-    The first router hears that the start was refused. Before it goes elsewhere it has
-    the sidecar note that this attempt won't start any more, so the second router's
-    start, which arrives later, is refused too.
+  Scenario: A START is refused while the same START of another router is in transit
+    Both callers get the same answer, of the other server.
+    The START of the first router is refused. Before the router tries another server, it has
+    the sidecar mark the attempt as one that must not start, so the START of the second
+    router, which arrives later, is refused too.
     Given requests: a fleet in two data centres
-    When requests: a sidecar refuses one router and the same start of another is on its way
+    When requests: a sidecar refuses the START of one router while that of another is in transit
     Then requests: ana has the whole answer of server B
     And requests: ana again has the whole answer of server B
     And requests: backend servers ran it 1 times
     And requests: it is billed 8 tokens once
 
-  Scenario: A dispatch is given back though its copy remains
-    The caller sees "not run", and its retry is answered.
-    The neighbour still has the copy of the dispatch; the holder knows better, and a
-    start from the copy would run under a reservation that is no more.
+  Scenario: A dispatch is released although its copy remains
+    The caller gets "not run", and its retry is answered.
+    Another data centre still has the copy of the dispatch. The record of the holder takes
+    precedence: a START based on the copy would run under a released reservation.
     Given requests: a fleet in two data centres
-    When requests: a dispatch is refused and given back though its copy remains
-    Then requests: ana is refused with no_server_took_it and hears not_run true
+    When requests: a dispatch is refused and released although its copy remains
+    Then requests: ana is refused with no_server_took_it and not_run true
     And requests: ana again has the whole answer of server A
     And requests: backend servers ran it 1 times
     And requests: it is billed 8 tokens once
 
   Scenario Outline: A first attempt arrives after its retry
-    Both callers see the one answer.
-    The first attempt was held up on its way, the retry ran in the other data centre.
-    Its question planted a mark, so the late attempt asks as well and attaches; where the
-    holder with the mark was replaced, its successor takes first attempts for retries.
+    Both callers get the same answer.
+    The first attempt was delayed in transit, and the retry ran in the other data centre. The
+    retry query left a mark, so the holder sends a query for the late attempt as well, and the
+    late call attaches. If the holder with the mark was replaced, its successor treats first
+    attempts as retries.
     Given requests: a fleet in two data centres
     When requests: <play>
     Then requests: ana has the whole answer of server A
@@ -181,14 +183,14 @@
     And requests: it is billed 8 tokens once
 
     Examples:
-      | play                                                                           |
-      | the first attempt is held up and its retry runs elsewhere                      |
-      | the holder with the mark is replaced before the late first attempt comes       |
+      | play                                                                          |
+      | the first attempt is delayed and its retry runs in another data centre        |
+      | the holder with the mark is replaced before the delayed first attempt arrives |
 
   Scenario: Retries cross in two data centres
-    Both callers see the one answer.
-    Each holder asks the other while its own claim is pending; a fixed order of the two
-    for that key decides which claim goes first, and the other gives way and attaches.
+    Both callers get the same answer.
+    Each holder queries the other while its own claim is pending. A fixed order of the two
+    for that key decides which claim has precedence; the other call attaches to it.
     Given requests: a fleet in two data centres
     When requests: retries cross in two data centres
     Then requests: ana has the whole answer of server A
@@ -196,41 +198,41 @@
     And requests: backend servers ran it 1 times
     And requests: it is billed 8 tokens once
 
-  Scenario: A retry of what may not be repeated, across a partition
-    The first caller sees its answer. The retry is refused: this attempt did not run,
-    whether an earlier one did is unknown, as the other data centre can't be asked.
-    The dispatch's copy goes to another router of the own data centre.
+  Scenario: A retry of a request that may not be repeated, across a partition
+    The first caller gets its answer. The retry is refused: this attempt did not run, and
+    whether an earlier one did is unknown, as the other data centre can't be queried.
+    The dispatch is copied to another router of the same data centre.
     Given requests: a fleet in two data centres
     When requests: a request that may not be repeated is retried across a partition
     Then requests: ana has the whole answer of server A
-    And requests: ana again is refused with retry_unsure and hears not_run unknown
+    And requests: ana again is refused with retry_unsure and not_run unknown
     And requests: backend servers ran it 1 times
     And requests: it is billed 8 tokens once
 
   Scenario: A request that may be repeated runs on both sides of a partition
-    Both callers see a whole answer, each of its own side.
-    Both bills are provisional: the tokens stay reserved in both places. When the
-    partition heals each asks the other, and the fixed order says which one is billed.
+    Both callers get a whole answer, each from its own side.
+    Both bills are provisional, and the tokens stay reserved in both data centres. When the
+    partition heals, each queries the other, and the fixed order decides which one is billed.
     Given requests: a fleet in two data centres
     When requests: a request is run on both sides of a partition, which then heals
     Then requests: ana has the whole answer of server A
     And requests: ana again has the whole answer of server B
-    And requests: the note "billed while parted" says 0
-    And requests: the note "reserved while parted" says 2
+    And requests: the note "billed during the partition" says 0
+    And requests: the note "reserved during the partition" says 2
     And requests: it is billed 8 tokens once
 
-  Scenario: A retry runs across a partition though the first attempt ran
-    Both callers see a whole answer; the first attempt's is billed, which is certain, and
-    the retry's provisional bill is dropped when its holder learns of it.
+  Scenario: A retry runs across a partition although the first attempt ran
+    Both callers get a whole answer. The bill of the first attempt is certain and stands; the
+    provisional bill of the retry is dropped when its holder learns of the other.
     Given requests: a fleet in two data centres
     When requests: a retry runs across a partition while the first attempt ran
     Then requests: ana has the whole answer of server A
     And requests: ana again has the whole answer of server B
     And requests: it is billed 8 tokens once
 
-  Scenario Outline: Messages get lost or come twice
-    The caller sees the whole answer, a little later.
-    Every call may be sent again: each is idempotent under its key and attempt.
+  Scenario Outline: Messages are lost or arrive twice
+    The caller gets the whole answer, a little later.
+    Every call may be sent again, as it is idempotent for its key and attempt.
     Given requests: a fleet in two data centres
     When requests: <play>
     Then requests: ana has the whole answer of server A
@@ -238,92 +240,95 @@
     And requests: it is billed 8 tokens once
 
     Examples:
-      | play                                                                         |
-      | the reply to a claim, a note, a start and a settlement is lost               |
-      | every call arrives twice                                                     |
-      | the connection under an answer falls silent for good                         |
-      | chunks of another attempt, another request and out of order come in between  |
-
-  Scenario: A holder dies and the retry comes to its successor
-    Both callers see the one answer.
-    The successor doesn't know the claims of the earlier epoch yet. The dispatch was
-    copied to the other data centre before the run began, and its holder tells.
+      | play                                                                             |
+      | the reply to a claim, a note, a start and a settlement is lost                   |
+      | every call arrives twice                                                         |
+      | the connection of an answer falls silent                                         |
+      | chunks of another attempt, of another request and out of order arrive in between |
+
+  Scenario: A holder dies and the retry arrives at its successor
+    Both callers get the same answer.
+    The successor doesn't know the claims of the earlier epoch yet. The dispatch was copied
+    to the other data centre before the run began, and the holder there reports it.
     Given requests: a fleet in two data centres
-    When requests: the holder dies under a request that may not be repeated, which is retried
+    When requests: the holder dies during a request that may not be repeated, which is retried
     Then requests: ana has the whole answer of server A
     And requests: ana again has the whole answer of server A
     And requests: backend servers ran it 1 times
     And requests: it is billed 8 tokens once
 
   Scenario: Holder, copy and sidecar die
-    The retry is told "unknown", never "not run".
-    Nobody who is left knows of the run, and the successor says that it is not recovered.
+    The retry gets "unknown", never "not run".
+    No remaining instance knows of the run, and the successor has not recovered the claims of
+    earlier epochs.
     Given requests: a fleet in two data centres
     When requests: the holder dies with the only copies of a request that may not be repeated
-    Then requests: ana again is refused with retry_unsure and hears not_run unknown
+    Then requests: ana again is refused with retry_unsure and not_run unknown
     And requests: backend servers ran it 1 times
 
-  Scenario: No second instance can keep the dispatch
-    The caller sees "not run": what may not be repeated doesn't start with one copy.
+  Scenario: No second instance can store a copy of the dispatch
+    The caller gets "not run": a request that may not be repeated doesn't start while only
+    one instance has its dispatch.
     Given requests: a fleet in two data centres
-    When requests: no second instance can keep the dispatch
-    Then requests: ana is refused with no_copy and hears not_run true
+    When requests: no second instance can store a copy of the dispatch
+    Then requests: ana is refused with no_copy and not_run true
     And requests: backend servers ran it 0 times
     And requests: it is not billed and 0 tokens stay reserved
 
-  Scenario: The holder is out of reach when the answer ends
-    The caller sees the whole answer, its end a moment late.
-    The outcome lies at the sidecar and as a copy at another router; both go on trying
-    until the holder is back, where the bill arrives once.
+  Scenario: The holder is unreachable when the answer ends
+    The caller gets the whole answer, its end a little late.
+    The sidecar has the outcome, and another router a copy of it. The settlement is retried
+    until the holder is reachable again, and is billed once.
     Given requests: a fleet in two data centres
-    When requests: the holder is out of reach when the answer ends
+    When requests: the holder is unreachable when the answer ends
     Then requests: ana has the whole answer of server A
-    And requests: the note "billed while parted" says 0
+    And requests: the note "billed during the partition" says 0
     And requests: the note "copies of the outcome" says 1
     And requests: it is billed 8 tokens once
 
-  Scenario: The sidecar dies before the holder is back
-    The caller sees the whole answer; it is billed though only the router can report it.
+  Scenario: The sidecar dies before the holder is reachable again
+    The caller gets the whole answer; it is billed although only the router can report it.
     Given requests: a fleet in two data centres
-    When requests: the holder is out of reach when the answer ends, and the sidecar dies
+    When requests: the holder is unreachable when the answer ends, and the sidecar dies
     Then requests: ana has the whole answer of server A
     And requests: it is billed 8 tokens once
 
-  Scenario: Router and sidecar die and nobody reports
+  Scenario: Router and sidecar die and no instance can report the run
     The caller's connection breaks.
     The worst case stays reserved until the stored deadline for reports, and is then
     billed: tokens that were generated and not billed would overspend the budget.
     Given requests: a fleet in two data centres
-    When requests: a run that nobody can report passes its deadline
+    When requests: a run that no instance can report passes its deadline
     Then requests: the note "reserved meanwhile" says 1
     And requests: it is billed 20 tokens once
 
   Scenario: A run that was dispatched and never started
     The caller's connection breaks.
-    After the deadline the holder cancels it at the sidecar, which says that it never
-    started there, nor will: the reservation is released.
+    After the deadline the holder cancels the run at the sidecar. The sidecar replies that it
+    did not start and will refuse to start it, so the reservation is released.
     Given requests: a fleet in two data centres
     When requests: a dispatched run that was never started passes its deadline
     Then requests: backend servers ran it 0 times
     And requests: it is not billed and 0 tokens stay reserved
 
-  Scenario: The link to the holder alone is silent
-    The caller sees its answer after a while.
-    The holder of the other data centre takes the claim. As the first one may have been
-    granted, it counts as a retry: that holder asks, and learns of the claim.
+  Scenario: Only the connection to the holder is silent
+    The caller gets its answer after a while.
+    The holder of the other data centre gets the claim. As the first claim may have been
+    granted, this one counts as a retry: that holder sends a query and learns of the claim.
     Given requests: a fleet in two data centres
-    When requests: the link between a router and its holder alone is silent
+    When requests: only the connection between a router and its holder is silent
     Then requests: ana has the whole answer of server A
     And requests: backend servers ran it 1 times
     And requests: it is billed 8 tokens once
 
-  Scenario: The own holder is back after another granted the claim
-    The caller sees its answer after two seconds.
-    The note at the other data centre's holder gets no reply, so the router claims
-    again, at its own holder, which is back. It no longer says "first attempt", so that
-    one asks and learns of the claim; a second reservation would be granted otherwise.
+  Scenario: The nearest holder is reachable again after another granted the claim
+    The caller gets its answer after two seconds.
+    The note to the holder in the other data centre gets no reply, so the router claims
+    again at the holder of its own data centre, which is reachable again. This claim is not
+    marked as a first attempt, so the holder sends a query and learns of the other claim;
+    otherwise it would grant a second reservation.
     Given requests: a fleet in two data centres
-    When requests: the own holder is back after the claim was granted elsewhere
+    When requests: the nearest holder is reachable again after the claim was granted in another data centre
     Then requests: ana has the whole answer of server A
     And requests: backend servers ran it 1 times
     And requests: it is billed 8 tokens once
--- a/features/steps/faults_steps.py
+++ b/features/steps/faults_steps.py
@@ -9,13 +9,13 @@
 
 @when('the fault matrix strikes with "{fault}" at every step of a {kind} request')
 def strike(context: Any, fault: str, kind: str) -> None:
-    """Play one row of cells, each in a fleet of its own."""
+    """Play one row of cells, each with its own fleet."""
     context.results = fault_matrix.play_row(fault, kind)
 
 
 @when('the fault matrix plays {count:d} pairs drawn by seed {seed:d}')
 def play_pairs(context: Any, count: int, seed: int) -> None:
-    """Play drawn pairs, each in a fleet of its own."""
+    """Play drawn pairs, each with its own fleet."""
     context.results = [fault_matrix.play(pair) for pair in fault_matrix.pairs(count, seed)]
 
 
@@ -29,13 +29,13 @@
 
 @then('the fault matrix finds every promise kept')
 def kept(context: Any) -> None:
-    """List each broken promise with its cell."""
+    """Check that no promise was broken; list the broken ones with their cells."""
     found = [f'{row.cell.name}: {text}' for row in context.results for text in row.broken]
     assert not found, '\n'.join(found)
 
 
 @then('the fault matrix has struck at every step')
 def struck(context: Any) -> None:
-    """A cell whose step is never reached would prove nothing."""
+    """Check that every step was reached: other cells would prove nothing."""
     missed = [row.cell.name for row in context.results if not row.struck]
     assert not missed, missed
--- a/features/steps/requests_chaos_steps.py
+++ b/features/steps/requests_chaos_steps.py
@@ -15,14 +15,14 @@
 
 @then('requests chaos: no promise is broken')
 def kept(context: Any) -> None:
-    """Look for broken promises."""
+    """Check that no promise was broken."""
     broken = [one for chaos in context.played for one in chaos.broken]
     assert not broken, broken
 
 
 @then('requests chaos: at least half of all calls are answered')
 def answered(context: Any) -> None:
-    """Guard against a play in which nothing happens."""
+    """Check that the plays contain enough answered calls to prove something."""
     outcomes = [outcome for chaos in context.played for outcome in chaos.outcomes]
     assert len(outcomes) > len(context.played), outcomes
     assert outcomes.count('whole') * 2 >= len(outcomes), outcomes
--- a/features/subjects/requests.py
+++ b/features/subjects/requests.py
@@ -1,4 +1,4 @@
-"""Subject: the life of a request, from a caller's call to its bill and record."""
+"""Subject: the request life cycle, from a caller's call to its bill and record."""
 
 from typing import Any
 
@@ -12,7 +12,7 @@
     requests_plays_sidecars,
 )
 from subjects.requests_fakes import TOKENS
-from subjects.requests_fleet import Fleet, Heard, fleet
+from subjects.requests_fleet import Fleet, Received, fleet
 from subjects.requests_plays import KEY, PLAYS
 
 ADDED_BY = (
@@ -26,16 +26,16 @@
 
 
 class Requests:
-    """Plays one scenario on a fleet and keeps what came of it."""
+    """Plays one scenario on a fleet and keeps the results."""
 
     def __init__(self, **settings: Any) -> None:
-        """Start with nothing played."""
+        """Initialize with no scenario played."""
         self._fleet: Fleet | None = None
         self._settings = settings
 
     @property
     def fleet(self) -> Fleet:
-        """The fleet as it stood at the end of the play."""
+        """The fleet in its state at the end of the play."""
         assert self._fleet is not None, 'nothing was played'
         return self._fleet
 
@@ -43,26 +43,26 @@
         """Play a scenario in virtual time."""
         virtual.run(lambda: self._play(name))
 
-    def heard(self, caller: str) -> Heard:
-        """Return what a caller heard."""
-        return self.fleet.heard[caller]
+    def received(self, caller: str) -> Received:
+        """Return what a caller received."""
+        return self.fleet.received[caller]
 
     def check_whole(self, caller: str, server: str) -> None:
         """Compare an answer with the one whole answer of a server."""
-        heard = self.heard(caller)
-        words = ''.join(f'{server}{index} ' for index in range(TOKENS))
-        assert heard.refusal is None, heard
-        assert heard.whole, heard
-        assert heard.body.decode() in {words, words + DONE}, heard
+        received = self.received(caller)
+        tokens = ''.join(f'{server}{index} ' for index in range(TOKENS))
+        assert received.refusal is None, received
+        assert received.whole, received
+        assert received.body.decode() in {tokens, tokens + DONE}, received
 
     def check_refused(self, caller: str, code: str, not_run: str) -> None:
         """Compare a refusal."""
-        refusal = self.heard(caller).refusal
-        assert refusal is not None, self.heard(caller)
+        refusal = self.received(caller).refusal
+        assert refusal is not None, self.received(caller)
         assert (refusal.code, refusal.not_run) == (code, not_run), refusal
 
     def runs(self) -> int:
-        """Count how often backend servers got the request."""
+        """Return how often backend servers received the request."""
         return self.fleet.seen[KEY]
 
     def billed(self) -> list[int]:
@@ -70,23 +70,25 @@
         return [tokens for _, key, tokens in self.fleet.ledger.bills if key == KEY]
 
     def reserved(self) -> int:
-        """Return what stays reserved."""
+        """Return the number of tokens that stay reserved."""
         return sum(self.fleet.ledger.reserved.values())
 
     def check_promises(self) -> None:
         """Check what must hold in every play.
 
-        One bill at most, no answer mixed from two servers, no "not run" of what a
-        server has seen, and each admission's end told once.
+        At most one bill, no answer mixed from two servers, no "not run" for a request that a
+        server has received, and one report of the end of each admission.
         """
         assert len(self.billed()) <= 1, self.billed()
-        answers = [heard.body.decode() for heard in self.fleet.heard.values()]
+        answers = [received.body.decode() for received in self.fleet.received.values()]
         assert all(len(_servers(answer)) <= 1 for answer in answers), answers
-        refusals = [heard.refusal for heard in self.fleet.heard.values() if heard.refusal]
-        if self.runs() and len(refusals) == len(self.fleet.heard):
+        refusals = [
+            received.refusal for received in self.fleet.received.values() if received.refusal
+        ]
+        if self.runs() and len(refusals) == len(self.fleet.received):
             assert NOT_RUN not in {refusal.not_run for refusal in refusals}, refusals
         for router in self.fleet.routers.values():
-            assert router.routing.admitted == router.routing.told, router.identity
+            assert router.routing.admitted == router.routing.reported_ends, router.identity
 
     def found(self) -> holders_pb2.Record:
         """Return the one record that was found."""
--- a/features/subjects/requests_chaos.py
+++ b/features/subjects/requests_chaos.py
@@ -1,4 +1,4 @@
-"""Subject: seeded faults at random moments of one request and its retries."""
+"""Subject: seeded faults at random times during one request and its retries."""
 
 import random
 from collections.abc import Awaitable, Callable
@@ -25,7 +25,7 @@
 
 
 class Broken(NamedTuple):
-    """A promise that a seed broke."""
+    """A promise that was broken with a seed."""
 
     seed: int
     promise: str
@@ -33,10 +33,10 @@
 
 
 class Chaos:
-    """One seed: a request, its retries, and a few faults while it lives."""
+    """One seed: a request, its retries, and a few faults during them."""
 
     def __init__(self, seed: int, most_faults: int = 3) -> None:
-        """Draw what happens."""
+        """Draw the kind of request from the seed."""
         self.most_faults = most_faults
         self.seed = seed
         self.random = random.Random(seed)
@@ -76,8 +76,8 @@
             'stream': self.stream,
             'deadline_unix_s': running.clock.now_s() + DEADLINE_S,
         }
-        patience_s = self.random.choice((DEADLINE_S, DEADLINE_S, self.random.uniform(0, 8)))
-        with anyio.move_on_after(patience_s):
+        timeout_s = self.random.choice((DEADLINE_S, DEADLINE_S, self.random.uniform(0, 8)))
+        with anyio.move_on_after(timeout_s):
             await running.call(f'call {number}', router, **fields)
 
     async def _fault(self, running: Fleet) -> None:
@@ -89,23 +89,23 @@
         await fault(running, draw)
 
     def _check(self, running: Fleet) -> None:
-        heard = list(running.heard.values())
+        received = list(running.received.values())
         runs = running.seen[KEY]
         bills = [tokens for _, key, tokens in running.ledger.bills if key == KEY]
-        whole = [one for one in heard if one.whole and one.refusal is None]
+        whole = [one for one in received if one.whole and one.refusal is None]
         if not self.may_repeat and runs > 1:
             self._break('runs at most once', f'{runs} runs')
         if len(bills) > 1:
             self._break('billed once', str(bills))
-        # What ran under an epoch that was followed is counted by the budgets from the
-        # reports of its seal, which the fake ledger does not do.
-        followed = running.ledger.epochs.total()
-        if whole and not bills and not followed:
+        # Runs under the epoch of a replaced holder are counted by the budgets from the
+        # reports collected when the epoch is sealed, which the fake ledger does not do.
+        replaced = running.ledger.epochs.total()
+        if whole and not bills and not replaced:
             self._break('an answer is billed', str(running.ledger.reserved))
-        if running.ledger.reserved and not followed:
+        if running.ledger.reserved and not replaced:
             self._break('nothing stays reserved', str(running.ledger.reserved))
-        refusals = [one.refusal for one in heard if one.refusal is not None]
-        if runs and len(refusals) == len(heard):
+        refusals = [one.refusal for one in received if one.refusal is not None]
+        if runs and len(refusals) == len(received):
             if any(refusal.not_run == NOT_RUN for refusal in refusals):
                 self._break('not run is the truth', str(refusals))
         for one in whole:
@@ -128,14 +128,14 @@
 
 
 async def router_dies(running: Fleet, draw: random.Random) -> None:
-    """Kill a router that holds nothing."""
+    """Kill a router that is not a holder."""
     name = draw.choice(('router-a2', 'router-b2'))
     if name not in running.ledger.holders.values():
         running.kill_router(name)
 
 
 async def holder_dies(running: Fleet, draw: random.Random) -> None:
-    """Kill a holder; its successor seals and learns after a while."""
+    """Kill a holder; after a while its successor seals the epoch and recovers the claims."""
     data_centre = draw.choice(DATA_CENTRES)
     successor = f'router-{data_centre[-1]}2'
     if running.routers[successor].dead.is_set() or running.ledger.epochs[data_centre]:
@@ -146,7 +146,7 @@
 
 
 async def recover(running: Fleet, data_centre: str, successor: str) -> None:
-    """Seal the epoch before and have the successor adopt what ran under it."""
+    """Seal the previous epoch and have the successor merge the records of its runs."""
     message = holders_pb2.SealRequest(
         shard=shard_of('azulejo'), data_centre=data_centre, below_epoch=2
     )
@@ -163,7 +163,7 @@
 
 
 async def sidecar_dies(running: Fleet, draw: random.Random) -> None:
-    """Kill a sidecar; it may restart at the same address a moment later."""
+    """Kill a sidecar; it may restart at the same address soon after."""
     server = draw.choice(('A', 'B'))
     running.notes['sidecars lost'] = 1
     running.kill_sidecar(server)
@@ -174,12 +174,12 @@
 
 
 async def engine_breaks(running: Fleet, draw: random.Random) -> None:
-    """Have an engine break off."""
+    """Have an engine break off during its answer."""
     running.sidecars[draw.choice(('A', 'B'))].engine.lose_after = draw.randrange(TOKENS)
 
 
-async def parted(running: Fleet, draw: random.Random) -> None:
-    """Part the data centres for a while."""
+async def partition(running: Fleet, draw: random.Random) -> None:
+    """Partition the data centres for a while."""
     one = {'router-a1', 'router-a2', 'sidecar-A'}
     other = {'router-b1', 'router-b2', 'sidecar-B'}
     running.net.part(one, other, draw.choice((Fault.SILENT, Fault.CUT)))
@@ -188,7 +188,7 @@
 
 
 async def link_silent(running: Fleet, draw: random.Random) -> None:
-    """Make one link silent, perhaps in one direction only."""
+    """Put a fault on one connection, in one direction or both."""
     left, right = draw.sample((*ROUTERS, *SIDECARS), 2)
     kind = draw.choice(list(Fault))
     running.net.faults[left, right] = kind
@@ -199,7 +199,7 @@
 
 
 async def pauses(running: Fleet, draw: random.Random) -> None:
-    """Pause an instance for a while, as seen from outside."""
+    """Make an instance unresponsive for a while."""
     address = draw.choice((*ROUTERS, *SIDECARS))
     running.net.paused.add(address)
     await anyio.sleep(draw.uniform(0.5, 10))
@@ -214,7 +214,7 @@
 
 
 async def start_reply_lost(running: Fleet, draw: random.Random) -> None:
-    """Lose the reply to the next start."""
+    """Lose the reply to the next START."""
     address = draw.choice(SIDECARS)
     if address in running.net.nodes:
         lose_first_reply(running, address, rpcs.START)
@@ -232,7 +232,7 @@
     holder_dies,
     sidecar_dies,
     engine_breaks,
-    parted,
+    partition,
     link_silent,
     pauses,
     reply_lost,
@@ -242,7 +242,7 @@
 
 
 def play(seeds: range) -> list[Chaos]:
-    """Play seeds, each on a fleet of its own."""
+    """Play the seeds, each on its own fleet."""
     played = []
     for seed in seeds:
         chaos = Chaos(seed)
--- a/features/subjects/requests_fakes.py
+++ b/features/subjects/requests_fakes.py
@@ -1,4 +1,4 @@
-"""Fakes around the life of a request: budgets, routing, engines, the view."""
+"""Fakes of the ports that requests depend on: budgets, routing, engines, the view."""
 
 import math
 from collections import Counter
@@ -24,10 +24,10 @@
 
 
 class Ledger:
-    """All budgets: who holds, what is reserved, what was billed."""
+    """The budgets of all data centres: holders, reservations and bills."""
 
     def __init__(self) -> None:
-        """Start with plenty."""
+        """Initialize with more tokens than any test needs."""
         self.holders: dict[str, str] = {}
         self.epochs: Counter[str] = Counter()
         self.unrecovered: set[str] = set()
@@ -38,10 +38,10 @@
 
 
 class FakeBudgets:
-    """The port ``Budgets`` of one router, over the one ledger."""
+    """The port ``Budgets`` of one router, backed by the shared ledger."""
 
     def __init__(self, ledger: Ledger, identity: Identity) -> None:
-        """Hold what the ledger says this address holds."""
+        """Initialize for one router."""
         self.ledger = ledger
         self.identity = identity
 
@@ -60,7 +60,7 @@
         return held
 
     def settle(self, account: str, request_key: str, epoch: int, used_tokens: int) -> int:
-        """Settle once."""
+        """Settle a request once; return the tokens used."""
         place = (self.identity.data_centre, request_key)
         bound_tokens = self.ledger.reserved.pop(place, None)
         if bound_tokens is not None:
@@ -70,14 +70,14 @@
         return used_tokens
 
     def held(self, account: str) -> Reserved | NotHolder:
-        """Tell the epoch that is held."""
+        """Return the epoch under which this router holds the shard."""
         name = self.identity.data_centre
         if self.ledger.holders.get(name) != self.identity.address:
             return NotHolder('another router holds it', self.ledger.holders.get(name, ''))
         return Reserved(shard_of(account), name, 1 + self.ledger.epochs[name])
 
     def recovered(self, account: str) -> bool:
-        """Tell whether older claims are known."""
+        """Tell whether the claims of earlier epochs are known."""
         return self.identity.address not in self.ledger.unrecovered
 
     def holder_address(self, account: str, data_centre: str) -> str:
@@ -85,18 +85,18 @@
         return self.ledger.holders.get(data_centre, '')
 
     def confirmed_unix_s(self, account: str) -> float:
-        """Always know at once who holds the shard."""
+        """Return infinity: the holder is always confirmed."""
         return math.inf
 
 
 class FakeRouting:
-    """Choose the first server that isn't excluded; check that ends are told once."""
+    """Chooses the first server that isn't excluded; counts admissions and reported ends."""
 
     def __init__(self, servers: dict[str, str]) -> None:
-        """Know servers and the addresses of their sidecars."""
+        """Initialize with servers and the addresses of their sidecars."""
         self.servers = servers
         self.admitted = 0
-        self.told = 0
+        self.reported_ends = 0
         self.refuse = False
         self.wait_s = 0.0
 
@@ -112,13 +112,13 @@
         return Choice(free[0], self.servers[free[0]], 0)
 
     def first_token(self, choice: Choice, routing_request: RoutingRequest) -> None:
-        """Nothing to learn."""
+        """Ignore the first token."""
 
     def ended(
         self, choice: Choice, routing_request: RoutingRequest, ok: bool, used_tokens: int
     ) -> None:
-        """Count."""
-        self.told += 1
+        """Count a reported end."""
+        self.reported_ends += 1
 
     def may_retry(self, account: str) -> bool:
         """Allow every retry."""
@@ -126,10 +126,10 @@
 
 
 class FakeView:
-    """Everybody is listed until told otherwise."""
+    """Lists every instance that was added."""
 
     def __init__(self, data_centres: Sequence[str]) -> None:
-        """Start without members."""
+        """Initialize without members."""
         self.configuration = Configuration(
             revision=1, data_centres={name: 'region' for name in data_centres}
         )
@@ -148,7 +148,7 @@
         )
 
     def members(self, role: str, data_centre: str = '') -> Sequence[members_pb2.Member]:
-        """Return who is listed."""
+        """Return the listed instances of a role."""
         return [
             member
             for member in self.listed.values()
@@ -156,22 +156,23 @@
         ]
 
     def leaving(self, instance: str) -> bool:
-        """Nobody leaves."""
+        """Return False: no instance leaves."""
         return False
 
     def loads(self) -> dict[str, runs_pb2.Load]:
-        """Nothing is reported."""
+        """Return no loads."""
         return {}
 
 
 class ScriptedEngine:
-    """An engine that says its name with each token, so that a mix of runs shows.
+    """An engine with its name in each token, so that a mix of runs can be detected.
 
-    ``lose_after`` breaks off after so many tokens; ``unsent`` is out of reach.
+    ``lose_after`` makes it break off after this many tokens; ``unsent`` makes it
+    unreachable.
     """
 
     def __init__(self, name: str, seen: Counter[str]) -> None:
-        """Count the runs of each request in ``seen``."""
+        """Initialize; the runs of each request are counted in ``seen``."""
         self.name = name
         self.seen = seen
         self.lose_after = -1
@@ -182,7 +183,7 @@
     async def run(self, message: runs_pb2.StartRequest) -> AsyncIterator[EngineEvent]:
         """Answer with tokens at a steady pace."""
         if self.unsent:
-            raise NeverSent('the engine is out of reach')
+            raise NeverSent('the engine is unreachable')
         self.seen[message.request_key] += 1
         ended = False
         try:
--- a/features/subjects/requests_fleet.py
+++ b/features/subjects/requests_fleet.py
@@ -26,7 +26,7 @@
 
 
 def defaults(settings: type[Any], **changes: Any) -> Any:
-    """Return settings with their defaults, some changed."""
+    """Return settings with defaults for all fields that ``changes`` doesn't give."""
     values = {}
     for field in dataclasses.fields(settings):
         arg = field.default
@@ -35,8 +35,8 @@
     return settings(**{**values, **changes})
 
 
-class Heard(NamedTuple):
-    """What one caller heard: the body and, where it was refused, why."""
+class Received(NamedTuple):
+    """What one caller received: the body and the refusal, if any."""
 
     body: bytes
     refusal: Refusal | None = None
@@ -44,10 +44,10 @@
 
 
 class Router:
-    """One router: its claims and its front, and the tasks that die with it."""
+    """One router: its claims, request front and recorder, and their tasks."""
 
     def __init__(self, fleet: 'Fleet', name: str, data_centre: str) -> None:
-        """Put it together; ``start`` runs it."""
+        """Create the parts of the router; ``run`` starts them."""
         self.identity = Identity(name, 'router', data_centre, 'region', name, 1)
         self.scope = anyio.CancelScope()
         self.dead = anyio.Event()
@@ -66,7 +66,7 @@
         fleet.view.add(self.identity)
 
     async def run(self) -> None:
-        """Run its tasks until it is killed."""
+        """Run the tasks until the router is killed."""
         with self.scope:
             async with anyio.create_task_group() as group:
                 group.start_soon(self.claims.run)
@@ -78,7 +78,7 @@
     """One sidecar with a scripted engine."""
 
     def __init__(self, fleet: 'Fleet', server: str, data_centre: str, incarnation: int) -> None:
-        """Put it together."""
+        """Create the parts of the sidecar."""
         address = f'sidecar-{server}'
         self.identity = Identity(
             address, 'sidecar', data_centre, 'region', address, incarnation, server
@@ -99,7 +99,7 @@
         fleet.view.add(self.identity)
 
     async def run(self) -> None:
-        """Run until it is killed."""
+        """Run until the sidecar is killed."""
         with self.scope:
             await self.runs.run()
 
@@ -108,7 +108,7 @@
     """Two data centres, each with two routers and a backend server."""
 
     def __init__(self, group: anyio.abc.TaskGroup, **settings: Any) -> None:
-        """Start everything."""
+        """Start all instances."""
         self.group = group
         self.clock = LoopClock()
         self.net = MemoryNet(self.clock)
@@ -120,7 +120,7 @@
         self.servers: dict[str, str] = {}
         self.routers: dict[str, Router] = {}
         self.sidecars: dict[str, Sidecar] = {}
-        self.heard: dict[str, Heard] = {}
+        self.received: dict[str, Received] = {}
         self.notes: dict[str, int] = {}
         self.found = holders_pb2.FindReply()
         for data_centre in DATA_CENTRES:
@@ -134,7 +134,7 @@
             self.ledger.holders[data_centre] = f'router-{letter}1'
 
     def add_sidecar(self, server: str, data_centre: str, incarnation: int = 1) -> Sidecar:
-        """Start a sidecar, perhaps again at the same address."""
+        """Start a sidecar, or restart it at the same address."""
         sidecar = Sidecar(self, server, data_centre, incarnation)
         self.sidecars[server] = sidecar
         self.group.start_soon(sidecar.run)
@@ -148,13 +148,13 @@
         self.view.listed.pop(name, None)
 
     def kill_sidecar(self, server: str) -> None:
-        """Kill a sidecar and its run."""
+        """Kill a sidecar and its runs."""
         sidecar = self.sidecars[server]
         self.net.kill(sidecar.identity.address)
         sidecar.scope.cancel()
 
     def take_over(self, data_centre: str, successor: str, recovered: bool) -> None:
-        """Kill the holder of a data centre and have another router follow it."""
+        """Kill the holder of a data centre and have another router take over."""
         self.kill_router(self.ledger.holders[data_centre])
         self.ledger.holders[data_centre] = successor
         self.ledger.epochs[data_centre] += 1
@@ -162,7 +162,7 @@
             self.ledger.unrecovered.add(successor)
 
     def request(self, **fields: Any) -> CallerRequest:
-        """Return a request with defaults for all that isn't given."""
+        """Return a request with defaults for all fields that aren't given."""
         given = {
             'account': 'azulejo', 'request_id': 'board-1', 'named': True, 'first_attempt': True,
             'kind': 'engine', 'model': 'boards', 'service': '', 'method': 'POST',
@@ -174,17 +174,17 @@
 
     async def call(self, caller: str, router: str, **fields: Any) -> None:
         """Have a caller send a request and read its answer to the end."""
-        self.heard[caller] = Heard(b'', whole=False)
+        self.received[caller] = Received(b'', whole=False)
         with anyio.CancelScope() as scope:
             self._die_together(router, scope)
-            came_to = await self.routers[router].front.serve(self.request(**fields))
-            if isinstance(came_to, Refusal):
-                self.heard[caller] = Heard(b'', came_to)
+            result = await self.routers[router].front.serve(self.request(**fields))
+            if isinstance(result, Refusal):
+                self.received[caller] = Received(b'', result)
                 return
-            await self._read(caller, came_to.chunks)
+            await self._read(caller, result.chunks)
 
     async def call_and_leave(self, caller: str, router: str, after_s: float, **fields: Any) -> None:
-        """Have a caller send a request and go away in the middle."""
+        """Have a caller send a request and disconnect after a time."""
         with anyio.move_on_after(after_s):
             await self.call(caller, router, **fields)
 
@@ -201,14 +201,14 @@
         try:
             async for piece in chunks:
                 body += piece
-                self.heard[caller] = Heard(body, whole=False)
+                self.received[caller] = Received(body, whole=False)
         except AnswerInterrupted as broken:
-            self.heard[caller] = Heard(body, broken.refusal)
+            self.received[caller] = Received(body, broken.refusal)
             return
-        self.heard[caller] = Heard(body)
+        self.received[caller] = Received(body)
 
     def _die_together(self, router: str, scope: anyio.CancelScope) -> None:
-        """Cut a caller's connection when its router dies."""
+        """Close the connection of a caller when its router dies."""
 
         async def watch() -> None:
             await self.routers[router].dead.wait()
@@ -223,7 +223,7 @@
 
 @asynccontextmanager
 async def fleet(**settings: Any) -> AsyncIterator[Fleet]:
-    """Run a fleet while the block lasts."""
+    """Run a fleet for the duration of the block."""
     async with anyio.create_task_group() as group:
         running = Fleet(group, **settings)
         await anyio.sleep(0.1)
--- a/features/subjects/requests_holder_plays.py
+++ b/features/subjects/requests_holder_plays.py
@@ -1,4 +1,4 @@
-"""Plays that speak to one holder directly, message by message."""
+"""Plays that send messages directly to one holder."""
 
 from typing import Any
 
@@ -14,7 +14,7 @@
 
 
 def claim_of(fleet: Fleet, **fields: Any) -> holders_pb2.ClaimRequest:
-    """Return a claim with defaults for all that isn't given."""
+    """Return a claim with defaults for all fields that aren't given."""
     given = {
         'request_key': KEY, 'account': ACCOUNT, 'digest': 'd1', 'bound_tokens': BOUND_TOKENS,
         'may_repeat': True, 'first_attempt': True, 'router': 'router-a2', 'call_id': 'call-1',
@@ -41,9 +41,9 @@
     return holders_pb2.SettleRequest(**{**given, **fields})
 
 
-@PLAYS.add('a request is settled by router and sidecar, again and again')
+@PLAYS.add('a request is settled repeatedly by router and sidecar')
 async def settled_often(fleet: Fleet) -> None:
-    """With the same usage, with more, and by an older attempt."""
+    """Settle for an older attempt, for the current one, and again with more usage."""
     claims = fleet.routers[HOLDER].claims
     await claims.claim(claim_of(fleet))
     await claims.note(note_of(1, 'sidecar-A'))
@@ -51,14 +51,14 @@
     late = await claims.settle(bill_of(1, 15))
     first = await claims.settle(bill_of(2, 7))
     again = await claims.settle(bill_of(2, 9, call_id='call-1'))
-    fleet.notes['late attempt was taken'] = int(late.settled)
+    fleet.notes['late attempt was accepted'] = int(late.settled)
     fleet.notes['first bill'] = first.billed_tokens
     fleet.notes['repeated bill'] = again.billed_tokens
 
 
-@PLAYS.add('two routers note the next attempt at once')
+@PLAYS.add('two routers dispatch the next attempt at the same time')
 async def notes_race(fleet: Fleet) -> None:
-    """For other servers."""
+    """Dispatch the same attempt to two servers."""
     claims = fleet.routers[HOLDER].claims
     await claims.claim(claim_of(fleet, may_repeat=False))
     lose_first_reply(fleet, 'router-b1', rpcs.COPY)
@@ -74,15 +74,15 @@
     again = await claims.note(note_of(2, 'sidecar-B'))
     copy = fleet.routers['router-b1'].claims.find_copy(KEY)
     fleet.notes['accepted'] = len(accepted)
-    fleet.notes['copies of what was accepted'] = int(
+    fleet.notes['copies of the accepted dispatch'] = int(
         copy is not None and [copy.sidecar] == accepted
     )
     fleet.notes['second dispatch accepted'] = int(again.accepted)
 
 
-@PLAYS.add('two routers note the next attempt of what may be repeated')
+@PLAYS.add('two routers dispatch the next attempt of a request that may be repeated')
 async def notes_race_repeatable(fleet: Fleet) -> None:
-    """For other servers."""
+    """Dispatch the same attempt to two servers."""
     claims = fleet.routers[HOLDER].claims
     await claims.claim(claim_of(fleet))
     first = await claims.note(note_of(1, 'sidecar-A'))
@@ -90,9 +90,9 @@
     fleet.notes['accepted'] = int(first.accepted) + int(second.accepted)
 
 
-@PLAYS.add('a holder is sealed while it is paused and wakes')
+@PLAYS.add('the epoch of a paused holder is sealed and the holder resumes')
 async def paused_holder(fleet: Fleet) -> None:
-    """It believes that it still holds the shard."""
+    """Seal the epoch while the holder still assumes that it holds the shard."""
     claims = fleet.routers[HOLDER].claims
     granted = await claims.claim(claim_of(fleet))
     record = granted.record
@@ -107,19 +107,19 @@
     seal = holders_pb2.SealRequest(
         shard=record.shard, data_centre=record.data_centre, below_epoch=record.epoch + 1
     )
-    told = await claims.seal(seal)
+    reported = await claims.seal(seal)
     claimed = await claims.claim(claim_of(fleet, request_key='azulejo/board-2'))
     noted = await claims.note(note_of(1, 'sidecar-A'))
     await anyio.sleep(0.3)
     verdicts = [reply.verdict for reply in (claimed, *waiting)]
-    fleet.notes['records told'] = len(told)
-    fleet.notes['claims sent on after the seal'] = verdicts.count('not_holder')
+    fleet.notes['records reported'] = len(reported)
+    fleet.notes['claims redirected after the seal'] = verdicts.count('not_holder')
     fleet.notes['dispatches accepted after the seal'] = int(noted.accepted)
 
 
-@PLAYS.add('a holder can remember no more')
+@PLAYS.add('the table of a holder is full')
 async def full(fleet: Fleet) -> None:
-    """One more request comes than it can remember."""
+    """Claim one more request than the table has room for."""
     claims = fleet.routers[HOLDER].claims
     verdicts = []
     for number in range(fleet.settings.max_records + 1):
@@ -130,28 +130,28 @@
     fleet.notes['refused as full'] = verdicts.count(
         ('refused', 'too_many_requests_remembered', 'true')
     )
-    fleet.notes['first one is still known'] = int(first.verdict == 'known')
+    fleet.notes['first request is still known'] = int(first.verdict == 'known')
 
 
-@PLAYS.add('an ended request grows old, then with a data centre out of view')
+@PLAYS.add('an ended request expires while a data centre is not visible')
 async def grows_old(fleet: Fleet) -> None:
-    """It is forgotten only where no other side of a partition may ask for it."""
+    """Check that a request expires only when all data centres are visible."""
     claims = fleet.routers[HOLDER].claims
     await claims.claim(claim_of(fleet))
     await claims.note(note_of(1, 'sidecar-A'))
     await claims.settle(bill_of(1, 7))
     hidden = [fleet.view.listed.pop(name) for name in ('router-b1', 'router-b2')]
     await anyio.sleep(fleet.settings.keep_s + 1)
-    fleet.notes['remembered while parted'] = int(claims.counters()['records'])
+    fleet.notes['records during the partition'] = int(claims.counters()['records'])
     for member in hidden:
         fleet.view.listed[member.address] = member
     await anyio.sleep(90)
-    fleet.notes['remembered when healed'] = int(claims.counters()['records'])
+    fleet.notes['records after the partition'] = int(claims.counters()['records'])
 
 
-@PLAYS.add('a successor takes in what ran under the sealed epoch')
+@PLAYS.add('a successor merges what ran under the sealed epoch')
 async def adopts(fleet: Fleet) -> None:
-    """From a sidecar that still runs it, and from a router with a mere claim."""
+    """Merge a run reported by a sidecar, and a claim that was never dispatched."""
     fleet.take_over('porto-a', 'router-a2', recovered=True)
     claims = fleet.routers['router-a2'].claims
     common: dict[str, Any] = {'account': ACCOUNT, 'digest': 'd1', 'shard': 7, 'epoch': 1}
@@ -163,17 +163,17 @@
     claims.adopt(7, [running, claimed], complete=True)
     retry = {'first_attempt': False, 'router': 'router-b2'}
     known = await claims.claim(claim_of(fleet, **retry))
-    anew = await claims.claim(claim_of(fleet, request_key='azulejo/claimed', **retry))
-    fleet.notes['running one is known'] = int(known.verdict == 'known')
-    fleet.notes['mere claim is granted anew'] = int(anew.verdict == 'granted')
+    again = await claims.claim(claim_of(fleet, request_key='azulejo/claimed', **retry))
+    fleet.notes['running request is known'] = int(known.verdict == 'known')
+    fleet.notes['undispatched claim is granted again'] = int(again.verdict == 'granted')
     await claims.settle(bill_of(1, 6))
     record = (await claims.find(holders_pb2.FindRequest(request_key=KEY))).records[0]
     fleet.notes['usage of the old epoch'] = record.used_tokens
 
 
-@PLAYS.add('a settlement comes to a holder that never heard of the request')
+@PLAYS.add('a holder receives the settlement of an unknown request')
 async def settled_unknown(fleet: Fleet) -> None:
-    """First without, then with the full record."""
+    """Settle first without the full record, then with it."""
     claims = fleet.routers[HOLDER].claims
     bare = await claims.settle(bill_of(1, 6))
     record = holders_pb2.Record(
--- a/features/subjects/requests_plays.py
+++ b/features/subjects/requests_plays.py
@@ -1,4 +1,4 @@
-"""What happens in the scenarios of requests*.feature, by name."""
+"""The plays of the scenarios in requests*.feature, by name."""
 
 from types import MappingProxyType
 
@@ -19,25 +19,25 @@
 
 
 def part(fleet: Fleet, fault: Fault = Fault.SILENT) -> None:
-    """Part the data centres; each keeps its sidecar."""
+    """Partition the data centres; each keeps its sidecar."""
     fleet.net.part({*A_ROUTERS, 'sidecar-A'}, {*B_ROUTERS, 'sidecar-B'}, fault)
 
 
 @PLAYS.add('one request is sent')
 async def one(fleet: Fleet) -> None:
-    """No fault."""
+    """Send a request without any fault."""
     await fleet.call('ana', 'router-a2')
 
 
-@PLAYS.add('one request is sent that wants its answer in one piece')
+@PLAYS.add('one request for an unstreamed answer is sent')
 async def one_whole(fleet: Fleet) -> None:
-    """No fault, not streamed."""
+    """Send a request for an unstreamed answer without any fault."""
     await fleet.call('ana', 'router-a2', **WHOLE)
 
 
-@PLAYS.add('a router dies in the middle and the caller retries elsewhere')
+@PLAYS.add('a router dies during the answer and the caller retries in another data centre')
 async def router_dies(fleet: Fleet) -> None:
-    """The retry attaches in the other data centre."""
+    """Retry in the other data centre, where the call attaches to the run."""
     fleet.begin('ana', 'router-a2', **ONCE)
     await anyio.sleep(MID_ANSWER_S)
     fleet.kill_router('router-a2')
@@ -46,7 +46,7 @@
 
 @PLAYS.add('a router dies between dispatch and start')
 async def router_dies_before_start(fleet: Fleet) -> None:
-    """The dispatch is noted, the start never sent; the retry sends it."""
+    """Kill the router after the dispatch; the START is sent for the retry."""
     fleet.net.faults['router-a2', 'sidecar-A'] = Fault.SILENT
     fleet.begin('ana', 'router-a2', **ONCE)
     await anyio.sleep(0.5)
@@ -54,9 +54,9 @@
     await fleet.call('ana again', 'router-b2', **RETRY, **ONCE)
 
 
-@PLAYS.add('a router dies with nothing but its claim')
+@PLAYS.add('a router dies after its claim and before the dispatch')
 async def router_dies_claimed(fleet: Fleet) -> None:
-    """The retry takes the claim over."""
+    """Kill the router after its claim, which the retry takes over."""
     fleet.net.faults['router-a1', 'router-a2'] = Fault.SILENT
     fleet.begin('ana', 'router-a2')
     await anyio.sleep(0.5)
@@ -66,7 +66,7 @@
 
 @PLAYS.add('the caller retries while the first attempt is being answered')
 async def retry_meanwhile(fleet: Fleet) -> None:
-    """Two calls of one request at once."""
+    """Retry while the first call is still open."""
     fleet.begin('ana', 'router-a2')
     await anyio.sleep(MID_ANSWER_S)
     await fleet.call('ana again', 'router-b2', **RETRY)
@@ -74,7 +74,7 @@
 
 @PLAYS.add('the caller retries in a data centre that the configuration does not name')
 async def retry_undeclared(fleet: Fleet) -> None:
-    """Its routers are in view all the same."""
+    """Retry in a data centre that is known only by its visible routers."""
     fleet.view.configuration = fleet.view.configuration._replace(data_centres={})
     fleet.begin('ana', 'router-a2')
     await anyio.sleep(MID_ANSWER_S)
@@ -83,28 +83,28 @@
 
 @PLAYS.add('the caller retries after the answer is complete')
 async def retry_after(fleet: Fleet) -> None:
-    """The sidecar still has the answer."""
+    """Retry while the sidecar still keeps the answer."""
     await fleet.call('ana', 'router-a2')
     await fleet.call('ana again', 'router-b1', **RETRY)
 
 
 @PLAYS.add('two calls of one request arrive at once at two routers')
 async def two_at_once(fleet: Fleet) -> None:
-    """Both claim at the same holder."""
+    """Send two calls whose routers claim at the same holder."""
     fleet.begin('ana', 'router-a1', **RETRY, **ONCE)
     await fleet.call('ana again', 'router-a2', **RETRY, **ONCE)
     await anyio.sleep(1)
 
 
-@PLAYS.add('the same key comes with another body')
+@PLAYS.add('the same key is sent with another body')
 async def conflict(fleet: Fleet) -> None:
-    """The key names another request."""
+    """Use the key of another request in the other data centre."""
     await fleet.call('ana', 'router-a2')
     await fleet.call('rui', 'router-b2', body=b'{"other": 1}', **RETRY)
 
 
-@PLAYS.add('the same key comes with another body to the same data centre')
+@PLAYS.add('the same key is sent with another body to the same data centre')
 async def conflict_here(fleet: Fleet) -> None:
-    """The holder has the claim itself."""
+    """Use the key of another request whose claim the same holder has."""
     await fleet.call('ana', 'router-a2')
     await fleet.call('rui', 'router-a1', body=b'{"other": 1}', **RETRY)
--- a/features/subjects/requests_plays_links.py
+++ b/features/subjects/requests_plays_links.py
@@ -1,4 +1,4 @@
-"""Plays in which messages are late, lost, doubled or crossed, and data centres part."""
+"""Plays with late, lost, duplicated or crossing messages, and with partitions."""
 
 from collections.abc import AsyncIterator
 from typing import Any
@@ -12,17 +12,17 @@
 from subjects.requests_plays import B_ROUTERS, KEY, MID_ANSWER_S, ONCE, PLAYS, RETRY, part
 
 
-@PLAYS.add('the first attempt is held up and its retry runs elsewhere')
+@PLAYS.add('the first attempt is delayed and its retry runs in another data centre')
 async def late_first(fleet: Fleet) -> None:
-    """The question of the retry planted a mark."""
+    """Send the first attempt after its retry, whose query has left a mark."""
     fleet.begin('ana again', 'router-a2', **RETRY, **ONCE)
     await anyio.sleep(0.3)
     await fleet.call('ana', 'router-b2', **ONCE)
 
 
-@PLAYS.add('the holder with the mark is replaced before the late first attempt comes')
+@PLAYS.add('the holder with the mark is replaced before the delayed first attempt arrives')
 async def late_first_new_holder(fleet: Fleet) -> None:
-    """The new holder takes first attempts for retries."""
+    """Replace the holder with the mark; the new one treats first attempts as retries."""
     fleet.begin('ana again', 'router-a2', **RETRY, **ONCE)
     await anyio.sleep(0.3)
     fleet.kill_router('router-b1')
@@ -33,7 +33,7 @@
 
 @PLAYS.add('retries cross in two data centres')
 async def crossing(fleet: Fleet) -> None:
-    """Both claims are pending when the questions cross."""
+    """Have two retry queries cross while both claims are pending."""
     fleet.ledger.slow_s = 0.2
     fleet.begin('ana', 'router-a2', **RETRY, **ONCE)
     await fleet.call('ana again', 'router-b2', **RETRY, **ONCE)
@@ -42,7 +42,7 @@
 
 @PLAYS.add('a request that may not be repeated is retried across a partition')
 async def parted_once(fleet: Fleet) -> None:
-    """The other data centre can't be asked."""
+    """Retry while the other data centre can't be queried."""
     part(fleet)
     fleet.begin('ana', 'router-a2', **ONCE)
     await anyio.sleep(1)
@@ -52,22 +52,22 @@
 
 @PLAYS.add('a request is run on both sides of a partition, which then heals')
 async def parted_both(fleet: Fleet) -> None:
-    """Both bills are provisional until both could be asked."""
+    """Run on both sides, with provisional bills until the partition heals."""
     part(fleet)
     fleet.begin('ana', 'router-a2', **RETRY)
     for router in B_ROUTERS:
         fleet.routers[router].routing.servers = {'B': 'sidecar-B'}
     await fleet.call('ana again', 'router-b2', **RETRY)
     await anyio.sleep(10)
-    fleet.notes['billed while parted'] = len(fleet.ledger.bills)
-    fleet.notes['reserved while parted'] = len(fleet.ledger.reserved)
+    fleet.notes['billed during the partition'] = len(fleet.ledger.bills)
+    fleet.notes['reserved during the partition'] = len(fleet.ledger.reserved)
     fleet.net.heal()
     await anyio.sleep(20)
 
 
 @PLAYS.add('a retry runs across a partition while the first attempt ran')
 async def parted_first(fleet: Fleet) -> None:
-    """The first attempt's bill is certain, the retry's is provisional."""
+    """Run a first attempt, whose bill is certain, and a retry with a provisional bill."""
     part(fleet)
     for router in B_ROUTERS:
         fleet.routers[router].routing.servers = {'B': 'sidecar-B'}
@@ -93,7 +93,7 @@
 
 
 def repeat_each(fleet: Fleet, address: str) -> None:
-    """Deliver each call at an address twice, the second time a little later."""
+    """Deliver each call to an address twice, the second time a little later."""
     handlers: Handlers = fleet.net.nodes[address]
     for path, handler in list(handlers.unary.items()):
         handlers.unary[path] = _twice(handler)
@@ -110,7 +110,7 @@
 
 @PLAYS.add('the reply to a claim, a note, a start and a settlement is lost')
 async def lost_replies(fleet: Fleet) -> None:
-    """Each is sent again and changes nothing."""
+    """Lose one reply of each kind, so that the call is sent again."""
     for rpc in (rpcs.CLAIM, rpcs.NOTE, rpcs.SETTLE):
         lose_first_reply(fleet, 'router-a1', rpc)
     lose_first_reply(fleet, 'sidecar-A', rpcs.START)
@@ -120,16 +120,16 @@
 
 @PLAYS.add('every call arrives twice')
 async def duplicates(fleet: Fleet) -> None:
-    """At holders and sidecars."""
+    """Deliver each call to routers and sidecars twice."""
     for address in (*fleet.routers, 'sidecar-A', 'sidecar-B'):
         repeat_each(fleet, address)
     await fleet.call('ana', 'router-a2', **RETRY, **ONCE)
     await anyio.sleep(5)
 
 
-@PLAYS.add('the connection under an answer falls silent for good')
+@PLAYS.add('the connection of an answer falls silent')
 async def silent(fleet: Fleet) -> None:
-    """A new connection works after a while."""
+    """Silence the sidecar during its answer, until a new connection works."""
     fleet.begin('ana', 'router-a2')
     await anyio.sleep(MID_ANSWER_S)
     fleet.net.faults['sidecar-A', 'router-a2'] = Fault.SILENT
@@ -138,9 +138,9 @@
     await anyio.sleep(15)
 
 
-@PLAYS.add('chunks of another attempt, another request and out of order come in between')
+@PLAYS.add('chunks of another attempt, of another request and out of order arrive in between')
 async def crossed(fleet: Fleet) -> None:
-    """A wrapper around the sidecar's answers puts them in."""
+    """Insert foreign chunks into the answer of the sidecar."""
     handlers = fleet.net.nodes['sidecar-A']
     follow = handlers.streams[rpcs.FOLLOW.path]
 
--- a/features/subjects/requests_plays_sidecars.py
+++ b/features/subjects/requests_plays_sidecars.py
@@ -1,4 +1,4 @@
-"""Plays in which sidecars and engines are lost, refuse or forget."""
+"""Plays in which sidecars and engines are lost, refuse requests or lose runs."""
 
 import anyio
 
@@ -8,27 +8,27 @@
 from subjects.requests_plays import B_ROUTERS, MID_ANSWER_S, ONCE, PLAYS, RETRY, WHOLE, part
 
 
-@PLAYS.add('the sidecar dies under an answer in one piece')
+@PLAYS.add('the sidecar dies during an unstreamed answer')
 async def sidecar_dies_whole(fleet: Fleet) -> None:
-    """Nothing was handed to the caller yet."""
+    """Kill the sidecar before the caller got any output."""
     fleet.begin('ana', 'router-a2', **WHOLE)
     await anyio.sleep(MID_ANSWER_S)
     fleet.kill_sidecar('A')
     await anyio.sleep(20)
 
 
-@PLAYS.add('the sidecar dies under a streamed answer')
+@PLAYS.add('the sidecar dies during a streamed answer')
 async def sidecar_dies_streamed(fleet: Fleet) -> None:
-    """Some tokens were handed out."""
+    """Kill the sidecar after the caller got some tokens."""
     fleet.begin('ana', 'router-a2')
     await anyio.sleep(MID_ANSWER_S)
     fleet.kill_sidecar('A')
     await anyio.sleep(20)
 
 
-@PLAYS.add('the sidecar dies under a request that may not be repeated')
+@PLAYS.add('the sidecar dies during a request that may not be repeated')
 async def sidecar_dies_once(fleet: Fleet) -> None:
-    """And the caller retries."""
+    """Kill the sidecar, and retry."""
     fleet.begin('ana', 'router-a2', **ONCE, **WHOLE)
     await anyio.sleep(MID_ANSWER_S)
     fleet.kill_sidecar('A')
@@ -36,9 +36,9 @@
     await fleet.call('ana again', 'router-b2', **ONCE, **WHOLE, **RETRY)
 
 
-@PLAYS.add('an attempt is given up, the next is refused, and the first answers after all')
+@PLAYS.add('an attempt is given up, the next is refused, and the first answers late')
 async def given_up_answers(fleet: Fleet) -> None:
-    """The link to the first sidecar is silent for a while; the other drains."""
+    """Silence the connection to the first sidecar for a while; the other one drains."""
     drain = runs_pb2.DrainRequest(reason='test', deadline_unix_s=0)
     await fleet.sidecars['B'].runs.answer_drain(drain)
     fleet.begin('ana', 'router-a2', **WHOLE)
@@ -51,9 +51,9 @@
     await fleet.call('ana again', 'router-b2', **WHOLE, **RETRY)
 
 
-@PLAYS.add('an attempt is given up for good and the next is refused')
+@PLAYS.add('an attempt is given up and never answers, and the next is refused')
 async def given_up_for_good(fleet: Fleet) -> None:
-    """Nobody will ever report the first attempt."""
+    """Kill the sidecar of the first attempt, so that no instance can report it."""
     drain = runs_pb2.DrainRequest(reason='test', deadline_unix_s=0)
     await fleet.sidecars['B'].runs.answer_drain(drain)
     fleet.begin('ana', 'router-a2', **WHOLE)
@@ -62,9 +62,9 @@
     await anyio.sleep(400)
 
 
-@PLAYS.add('a holder dies under a provisional run of a request that ran elsewhere')
+@PLAYS.add('a holder dies during a provisional run of a request that ran in another data centre')
 async def provisional_holder_dies(fleet: Fleet) -> None:
-    """Its sidecar reports to the successor, which never heard of the claim."""
+    """Have the sidecar report to a successor that doesn't know the claim."""
     part(fleet)
     for router in B_ROUTERS:
         fleet.routers[router].routing.servers = {'B': 'sidecar-B'}
@@ -78,9 +78,9 @@
     await anyio.sleep(20)
 
 
-@PLAYS.add('the sidecar restarts between a start and its repetition')
+@PLAYS.add('the sidecar restarts between a START and its retry')
 async def sidecar_restarts(fleet: Fleet) -> None:
-    """The first start ran, its reply was lost, and the new sidecar knows nothing."""
+    """Lose the reply to a START, and restart the sidecar before the START is retried."""
     fleet.net.faults['router-a2', 'sidecar-A'] = Fault.LOST_REPLY
     fleet.begin('ana', 'router-a2', **ONCE)
     await anyio.sleep(0.5)
@@ -92,9 +92,9 @@
     await anyio.sleep(20)
 
 
-@PLAYS.add('a sidecar out of reach is given up, runs on, and comes back')
+@PLAYS.add('an unreachable sidecar is given up, continues its run, and is reachable again')
 async def unknown_runs_on(fleet: Fleet) -> None:
-    """It may not be repeated, and its router has told the caller "unknown"."""
+    """Refuse the caller with "unknown" while the run continues, and retry."""
     fleet.sidecars['A'].engine.token_s = 3.0
     fleet.begin('ana', 'router-a2', **ONCE, **WHOLE)
     await anyio.sleep(1)
@@ -104,9 +104,9 @@
     await fleet.call('ana again', 'router-b2', **ONCE, **WHOLE, **RETRY)
 
 
-@PLAYS.add('a sidecar is restarted under a request that may not be repeated')
+@PLAYS.add('a sidecar is restarted during a request that may not be repeated')
 async def sidecar_restarts_once(fleet: Fleet) -> None:
-    """The new incarnation is in view."""
+    """Restart the sidecar; its new incarnation is visible."""
     fleet.begin('ana', 'router-a2', **ONCE, **WHOLE)
     await anyio.sleep(MID_ANSWER_S)
     fleet.kill_sidecar('A')
@@ -114,31 +114,31 @@
     await anyio.sleep(30)
 
 
-@PLAYS.add('the engine breaks off before anything was handed out')
+@PLAYS.add('the engine breaks off before any output was passed on')
 async def engine_breaks(fleet: Fleet) -> None:
-    """The request may be repeated."""
+    """Have the engine break off before its first token."""
     fleet.sidecars['A'].engine.lose_after = 0
     await fleet.call('ana', 'router-a2')
 
 
-@PLAYS.add('the engine breaks off in the middle of what may not be repeated')
+@PLAYS.add('the engine breaks off during a request that may not be repeated')
 async def engine_breaks_once(fleet: Fleet) -> None:
-    """Its sidecar lives and has seen three tokens."""
+    """Have the engine break off after three tokens; its sidecar keeps running."""
     fleet.sidecars['A'].engine.lose_after = 3
     await fleet.call('ana', 'router-a2', **ONCE, **WHOLE)
     await anyio.sleep(10)
 
 
-@PLAYS.add('the engine of the first server is out of reach')
+@PLAYS.add('the engine of the first server is unreachable')
 async def engine_unsent(fleet: Fleet) -> None:
-    """A request that may not be repeated goes elsewhere, as it did not run."""
+    """Make the first engine unreachable, so that the request is sent to the second."""
     fleet.sidecars['A'].engine.unsent = True
     await fleet.call('ana', 'router-a2', **ONCE)
 
 
-@PLAYS.add('every sidecar refuses to start, and then no more')
+@PLAYS.add('every sidecar refuses to start the run, and later accepts it')
 async def all_refuse(fleet: Fleet) -> None:
-    """All drain; later the same key is sent again."""
+    """Drain all sidecars, and send the same key again when one accepts requests."""
     drain = runs_pb2.DrainRequest(reason='test', deadline_unix_s=0)
     for sidecar in fleet.sidecars.values():
         await sidecar.runs.answer_drain(drain)
@@ -147,9 +147,9 @@
     await fleet.call('ana again', 'router-b2', **ONCE, **RETRY)
 
 
-@PLAYS.add('a dispatch is refused and given back though its copy remains')
+@PLAYS.add('a dispatch is refused and released although its copy remains')
 async def stale_copy(fleet: Fleet) -> None:
-    """The retry comes to the same data centre, whose neighbour still has the copy."""
+    """Retry in the same data centre while the other one still has the copy."""
     drain = runs_pb2.DrainRequest(reason='test', deadline_unix_s=0)
     for sidecar in fleet.sidecars.values():
         await sidecar.runs.answer_drain(drain)
@@ -159,9 +159,9 @@
     await fleet.call('ana again', 'router-a2', **ONCE, **RETRY)
 
 
-@PLAYS.add('a sidecar refuses one router and the same start of another is on its way')
+@PLAYS.add('a sidecar refuses the START of one router while that of another is in transit')
 async def refused_then_taken(fleet: Fleet) -> None:
-    """Two calls; the first start is refused, the second arrives after it was withdrawn."""
+    """Refuse the first of two STARTs; the second arrives after the withdrawal."""
     handlers = fleet.net.nodes['sidecar-A']
     start = handlers.unary[rpcs.START.path]
     calls: list[runs_pb2.StartRequest] = []
