--- a/features/budgets.feature
+++ b/features/budgets.feature
@@ -53,7 +53,7 @@
     And budget time passes for 2 seconds
     Then budget request "early" is refused with budget_exhausted within 1 seconds
     And budget request "after" is answered
-    And the budget operator heard Accepted, Accepted, Already
+    And the budget operator heard Accepted, Accepted, AlreadyApplied
 
   Scenario: A request follows a top-up at once
     The caller was refused, the operator pays in, and the caller asks again at the same
@@ -94,7 +94,7 @@
     When a budget top-up of 500 as "june" is written, its answer lost and the store down
     And the budget store comes back
     And the budget is topped up by 500 as "june"
-    Then the budget operator heard Accepted, Unknown, Already
+    Then the budget operator heard Accepted, Unknown, AlreadyApplied
     And the budget store shows 600 paid in
 
   Scenario: Old top-ups are folded and still count once
@@ -102,7 +102,7 @@
     When the budget is topped up by 10 in 40 pieces
     And the budget is topped up by 10 as "piece-0"
     Then the budget store shows 500 paid in
-    And the budget operator heard Already at last
+    And the budget operator heard AlreadyApplied at last
 
   Scenario: A declared budget can't fall below what is granted or spent
     Given budgets with 1000 tokens
--- a/packages/fleet/src/endivesaddle/fleet/budgets/top_ups.py
+++ b/packages/fleet/src/endivesaddle/fleet/budgets/top_ups.py
@@ -25,7 +25,7 @@
     total_tokens: int
 
 
-class Already(NamedTuple):
+class AlreadyApplied(NamedTuple):
     """The top-up counted before, under this id."""
 
     total_tokens: int
@@ -56,7 +56,7 @@
     free_tokens: int
 
 
-class Refused(Exception):
+class ChangeRejected(Exception):
     """A change that the record doesn't allow; its text is the reason."""
 
 
@@ -75,7 +75,7 @@
         if records.has_top_up(budget, self._id):
             kept = budget['top_ups'].get(self._id, self._tokens)
             if kept != self._tokens:
-                raise Refused(f'top-up {self._id} was made with {kept} tokens')
+                raise ChangeRejected(f'top-up {self._id} was made with {kept} tokens')
             # Found at a second look only: this call's own lost write, or its twin's.
             self.repeated = not self._tried
             return False
@@ -92,14 +92,14 @@
     tokens: int,
     top_up_id: str,
     deadline_unix_s: float,
-) -> Accepted | Already | Unknown | NotAccepted:
+) -> Accepted | AlreadyApplied | Unknown | NotAccepted:
     """Add tokens to an account's budget, once for each ``top_up_id``."""
     if tokens <= 0 or not top_up_id or top_up_id == DECLARED:
         return NotAccepted('a top-up needs an id of its own and more than 0 tokens')
     change = _TopUp(account, tokens, top_up_id)
     outcome = await save(store, clock, account, change, deadline_unix_s)
     if isinstance(outcome, Accepted) and change.repeated:
-        return Already(outcome.total_tokens)
+        return AlreadyApplied(outcome.total_tokens)
     return outcome
 
 
@@ -116,7 +116,7 @@
         budget = record['budgets'].setdefault(account, records.new_budget())
         declared = budget['top_ups'].get(DECLARED, 0)
         if budget_tokens - declared + records.free_tokens(budget) < 0:
-            raise Refused('that is less than what is granted or spent')
+            raise ChangeRejected('that is less than what is granted or spent')
         budget['top_ups'][DECLARED] = budget_tokens
         return budget_tokens != declared
 
@@ -159,7 +159,7 @@
     shard = shard_of(account)
     try:
         saved = await RecordStore(store, clock).update(shard, change, deadline_unix_s)
-    except (Refused, BadRecord, StoreUnreachable) as error:
+    except (ChangeRejected, BadRecord, StoreUnreachable) as error:
         return NotAccepted(str(error))
     except RecordWriteUnconfirmed as error:
         return Unknown(str(error))
--- a/packages/fleet/src/endivesaddle/fleet/budgets/write_offs.py
+++ b/packages/fleet/src/endivesaddle/fleet/budgets/write_offs.py
@@ -7,7 +7,7 @@
 
 from endivesaddle.fleet.budgets import records
 from endivesaddle.fleet.budgets.direct_transfers import HolderEpoch
-from endivesaddle.fleet.budgets.top_ups import Accepted, NotAccepted, Refused, Unknown, save
+from endivesaddle.fleet.budgets.top_ups import Accepted, ChangeRejected, NotAccepted, Unknown, save
 from endivesaddle.fleet.clock import Clock
 from endivesaddle.fleet.ports import Store
 
@@ -36,12 +36,12 @@
             # The answer to this call's own write was lost; "no" would be false.
             return False
         if not entries:
-            raise Refused(
+            raise ChangeRejected(
                 f'{account} has nothing stranded of {holder_epoch.data_centre}/{holder_epoch.epoch}'
             )
         entry = entries[0]
         if not entry.settled <= spent_tokens <= entry.ceiling:
-            raise Refused(f'between {entry.settled} and {entry.ceiling} tokens were spent')
+            raise ChangeRejected(f'between {entry.settled} and {entry.ceiling} tokens were spent')
         tried = True
         budget['stranded'].remove(entry)
         budget['spent'] += spent_tokens
--- a/packages/operators/src/endivesaddle/operators/budget_desk.py
+++ b/packages/operators/src/endivesaddle/operators/budget_desk.py
@@ -43,7 +43,7 @@
 
     async def top_up(
         self, account: str, tokens: int, top_up_id: str, deadline_unix_s: float
-    ) -> top_ups.Accepted | top_ups.Already | top_ups.Unknown | top_ups.NotAccepted:
+    ) -> top_ups.Accepted | top_ups.AlreadyApplied | top_ups.Unknown | top_ups.NotAccepted:
         """Add tokens to an account's budget, once for each id."""
         return await top_ups.top_up(
             self._store, self._clock, account, tokens, top_up_id, deadline_unix_s
--- a/packages/operators/src/endivesaddle/operators/commands/top_up.py
+++ b/packages/operators/src/endivesaddle/operators/commands/top_up.py
@@ -41,7 +41,7 @@
     match outcome:
         case top_ups.Accepted(total_tokens):
             return _done(f'accepted: {account} +{tokens}', top_up_id, total_tokens)
-        case top_ups.Already(total_tokens):
+        case top_ups.AlreadyApplied(total_tokens):
             return _done(f'accepted before: {account} +{tokens}', top_up_id, total_tokens)
         case top_ups.NotAccepted(reason):
             return not_accepted(reason)
--- a/packages/stand_ins/src/endivesaddle/stand_ins/budget_bench.py
+++ b/packages/stand_ins/src/endivesaddle/stand_ins/budget_bench.py
@@ -146,7 +146,7 @@
                 top_up_id,
                 fleet.clock.now_s() + _TRY_S,
             )
-            if isinstance(answer, (top_ups.Accepted, top_ups.Already)):
+            if isinstance(answer, (top_ups.Accepted, top_ups.AlreadyApplied)):
                 self._paid[top_up.account] += top_up.tokens
                 return
             await anyio.sleep(_TRY_S)
