--- a/packages/fleet/src/endivesaddle/fleet/budgets/admission.py
+++ b/packages/fleet/src/endivesaddle/fleet/budgets/admission.py
@@ -78,7 +78,7 @@
                 await self._change(held, account, waiter, deadline_unix_s)
         finally:
             ledger.queue = [other for other in ledger.queue if other is not waiter]
-            held.tell()
+            held.notify_change()
         return None
 
     def most(self, held: HeldShard, account: str) -> int:
@@ -106,7 +106,7 @@
             return False
         held.dirty = True
         if shard_update.is_low(ledger, self._settings, self._clock.now_s()):
-            held.hurry()
+            held.request_write()
         return True
 
     def _judge(
@@ -146,8 +146,8 @@
         self, held: HeldShard, account: str, waiter: Waiter, deadline_unix_s: float
     ) -> None:
         ledger = held.ledger(account)
-        changed = held.change()
-        held.hurry()
+        changed = held.next_change()
+        held.request_write()
         wait_s = min(self._settings.retry_s, left_s(self._clock, deadline_unix_s))
         missing = waiter.bound_tokens - ledger.headroom
         with anyio.move_on_after(wait_s):
--- a/packages/fleet/src/endivesaddle/fleet/budgets/held.py
+++ b/packages/fleet/src/endivesaddle/fleet/budgets/held.py
@@ -27,7 +27,7 @@
         self.batch = int(now_unix_s)
         self.stop_reason = ''
         self.dirty = False
-        self.in_doubt = False
+        self.write_unconfirmed = False
         self.receivers = dict(own['others'])
         self.past_epochs = _past_epochs(saved.record, data_centre)
         self.recovered = not self.past_epochs
@@ -35,7 +35,7 @@
         self._wake = anyio.Event()
         self._changed = anyio.Event()
         self._sealed_unix_s: dict[str, float] = {}
-        self.see(saved, now_unix_s)
+        self.apply_saved(saved, now_unix_s)
 
     @property
     def holder_epoch(self) -> HolderEpoch:
@@ -63,28 +63,28 @@
     def stop(self, reason: str) -> None:
         """Admit nothing more; whoever waits is told at once."""
         self.stop_reason = self.stop_reason or reason
-        self.tell()
+        self.notify_change()
 
-    def tell(self) -> None:
+    def notify_change(self) -> None:
         """Wake whoever waits for headroom."""
         self._changed.set()
         self._changed = anyio.Event()
 
-    def change(self) -> anyio.Event:
+    def next_change(self) -> anyio.Event:
         """Return the event of the next change."""
         return self._changed
 
-    def hurry(self) -> None:
+    def request_write(self) -> None:
         """Have the record written now."""
         self._wake.set()
 
-    async def due(self, interval_s: float) -> None:
+    async def wait_until_due(self, interval_s: float) -> None:
         """Wait until the record is to be written."""
         with anyio.move_on_after(interval_s):
             await self._wake.wait()
         self._wake = anyio.Event()
 
-    def see(self, saved: Saved, now_unix_s: float) -> None:
+    def apply_saved(self, saved: Saved, now_unix_s: float) -> None:
         """Take in a record as it was read or written just now."""
         self.saved = saved
         self._seen_unix_s = now_unix_s
@@ -92,10 +92,10 @@
         for name in saved.record['sealed']:
             self._sealed_unix_s.setdefault(name, now_unix_s)
 
-    def look_again(self) -> None:
+    def request_reread(self) -> None:
         """Have the record read now: another holder has just changed it."""
         self._seen_unix_s = 0
-        self.hurry()
+        self.request_write()
 
     def sealed_since_unix_s(self, holder_epoch: HolderEpoch) -> float:
         """Return when a passed epoch was seen here first; 0: never."""
--- a/packages/fleet/src/endivesaddle/fleet/budgets/holder.py
+++ b/packages/fleet/src/endivesaddle/fleet/budgets/holder.py
@@ -110,7 +110,7 @@
             )
         billed = ledger.settle(request_key, used_tokens, self._clock.now_s())
         held.dirty = True
-        held.tell()
+        held.notify_change()
         return 0 if billed is None else billed
 
     def held(self, account: str) -> Reserved | NotHolder:
@@ -166,7 +166,7 @@
             return used_tokens
         events.LATE_SETTLE.log(account=account, request_key=request_key, epoch=epoch)
         billed = usage.settle(account, request_key, used_tokens)
-        held.hurry()
+        held.request_write()
         return used_tokens if billed is None else billed
 
     def _elsewhere(self, account: str) -> NotHolder:
--- a/packages/fleet/src/endivesaddle/fleet/budgets/recovery.py
+++ b/packages/fleet/src/endivesaddle/fleet/budgets/recovery.py
@@ -88,7 +88,7 @@
             if began_unix_s + self._settings.records_kept_s < self._clock.now_s():
                 # Whoever could ask about such an old request has been answered long ago.
                 held.recovered = True
-            held.hurry()
+            held.request_write()
             await anyio.sleep(pause_s)
             pause_s = min(_LONGEST_PAUSE_S, pause_s * 2)
 
--- a/packages/fleet/src/endivesaddle/fleet/budgets/shard_manager.py
+++ b/packages/fleet/src/endivesaddle/fleet/budgets/shard_manager.py
@@ -87,7 +87,7 @@
             held.dirty = False
             update = ShardUpdate(held, self._settings, sidecars.fingerprint(self._view), now_unix_s)
             await self._save(held, update, known)
-        held.tell()
+        held.notify_change()
 
     def seal(self, message: holders_pb2.SealRequest) -> list[holders_pb2.Record]:
         """Stop admitting under sealed epochs; report what this instance knows of them."""
@@ -100,7 +100,7 @@
                 report.extend(other_report(held, message.data_centre, message.below_epoch))
             elif held.epoch < message.below_epoch:
                 held.stop(f'epoch {held.epoch} was sealed')
-                held.hurry()
+                held.request_write()
                 report.extend(own_report(held))
         return report
 
@@ -160,13 +160,13 @@
             update.cancel()
             self._trouble(held, unreachable)
         except RecordWriteUnconfirmed as unsaved:
-            held.in_doubt = True
+            held.write_unconfirmed = True
             self._trouble(held, unsaved)
         else:
             update.confirm(saved.record)
             # Where there was nothing to write the record was not looked at either.
             if saved is not known:
-                held.see(saved, began_unix_s)
+                held.apply_saved(saved, began_unix_s)
 
     def _let_go(self, held: HeldShard, end: FleetError) -> None:
         if isinstance(end, BadRecord):
@@ -203,7 +203,7 @@
         return HeldShard(shard, self._identity.data_centre, saved, self._clock.now_s())
 
     async def _due(self, held: HeldShard, looked_unix_s: float) -> float:
-        await held.due(self._settings.settle_interval_s)
+        await held.wait_until_due(self._settings.settle_interval_s)
         gap_s = self._settings.write_gap_s if held.reachable else self._settings.store_retry_s
         await anyio.sleep(max(0, looked_unix_s + gap_s - self._clock.now_s()))
         now_unix_s = self._clock.now_s()
--- a/packages/fleet/src/endivesaddle/fleet/budgets/shard_update.py
+++ b/packages/fleet/src/endivesaddle/fleet/budgets/shard_update.py
@@ -45,7 +45,7 @@
         self._folded: set[str] = set()
         self._transfer_updates: dict[str, TransferUpdate] = {}
         self._yielding = {name: ledger.yielding for name, ledger in held.ledgers.items()}
-        self._in_doubt = held.in_doubt
+        self._write_unconfirmed = held.write_unconfirmed
         held.batch = max(held.batch + 1, int(now_unix_s))
         self._batch = held.batch
 
@@ -61,7 +61,7 @@
         # A write whose answer was lost may still arrive.  Only a later one that is
         # confirmed rules that out, so there has to be one: without it, an account
         # whose grant that write folded was billed for the same requests again.
-        changed = own != before or self._in_doubt
+        changed = own != before or self._write_unconfirmed
         for usage in held.past_epochs.values():
             changed = release(record, usage) or changed
         for account, ledger in held.ledgers.items():
@@ -87,7 +87,7 @@
             self._settle_fold(account, ledger)
             grant = record['budgets'][account]['grants'].get(held.data_centre, _NOTHING)
             ledger.forget(self._now_unix_s - self._settings.records_kept_s, grant.batch)
-        held.in_doubt = False
+        held.write_unconfirmed = False
         held.receivers = dict(record['holders'][held.data_centre]['others'])
         for epoch, usage in list(held.past_epochs.items()):
             if records.sealed_key(*usage.holder_epoch) not in record['sealed']:
--- a/packages/fleet/src/endivesaddle/fleet/budgets/transfers.py
+++ b/packages/fleet/src/endivesaddle/fleet/budgets/transfers.py
@@ -132,7 +132,7 @@
     ) -> None:
         if not reply.given:
             if reply.tokens:
-                held.look_again()
+                held.request_reread()
             return
         transfer = DirectTransfer(*ask.donor, reply.tokens)
         sealed = transfer.epoch < self._shard_manager.min_epoch(held.shard, transfer.data_centre)
@@ -142,7 +142,7 @@
             ledger.pending.unanswered[ask.transfer_id] = transfer
             return
         ledger.pending.received[ask.transfer_id] = transfer
-        held.tell()
+        held.notify_change()
 
     def _give_directly(
         self,
