--- a/features/subjects/config_bench.py
+++ b/features/subjects/config_bench.py
@@ -14,8 +14,8 @@
 from endivesaddle.fleet import revisions
 from endivesaddle.fleet.configuration import Account, BackendServer, Configuration, Model
 from endivesaddle.fleet.distribution import DistributionSettings
-from endivesaddle.fleet.distribution.holding import Holding
 from endivesaddle.fleet.distribution.relay import Relay
+from endivesaddle.fleet.distribution.revision_state import RevisionState
 from endivesaddle.stand_ins.memory_peers import Moment
 from endivesaddle.wire import runs_pb2
 from subjects.fleet_of_members import Fleet, LinkedStore, Node
@@ -155,26 +155,26 @@
         """Start no process yet; ``reread`` has each read the head again as relays do."""
         self._fleet = fleet
         self._settings = settings
-        self._place = 0 if reread else 1
-        self.holdings: dict[str, Holding] = {}
+        self._rank = 0 if reread else 1
+        self.revision_states: dict[str, RevisionState] = {}
 
     def start(self, group: Any, size: Size) -> None:
         """Start as many processes as a fleet of that size has."""
         for number in range(sum(size.routers) + sum(size.sidecars)):
             name = f'process-{number}'
-            holding = Holding(self._fleet.clock)
+            revision_state = RevisionState(self._fleet.clock)
             store: Any = LinkedStore(self._fleet.store, name, self._fleet.faults)
-            relay = Relay(self._settings, store, holding, self._fleet.clock)
-            self.holdings[name] = holding
-            group.start_soon(relay.run, self._find_place, _nothing)
+            relay = Relay(self._settings, store, revision_state, self._fleet.clock)
+            self.revision_states[name] = revision_state
+            group.start_soon(relay.run, self._find_rank, _nothing)
 
     def follow(self, lags: Lags) -> None:
         """Note the lags at all processes."""
-        for name, holding in self.holdings.items():
-            holding.listeners.append(functools.partial(lags.note, name))
+        for name, revision_state in self.revision_states.items():
+            revision_state.listeners.append(functools.partial(lags.note, name))
 
-    def _find_place(self) -> int:
-        return self._place
+    def _find_rank(self) -> int:
+        return self._rank
 
 
 def follow(fleet: Fleet, lags: Lags) -> None:
--- a/packages/fleet/src/endivesaddle/fleet/distribution/distribution.py
+++ b/packages/fleet/src/endivesaddle/fleet/distribution/distribution.py
@@ -9,8 +9,8 @@
 from endivesaddle.fleet.clock import Clock
 from endivesaddle.fleet.configuration import Configuration
 from endivesaddle.fleet.distribution import events, packing
-from endivesaddle.fleet.distribution.holding import Holding
 from endivesaddle.fleet.distribution.relay import Relay
+from endivesaddle.fleet.distribution.revision_state import RevisionState
 from endivesaddle.fleet.distribution.settings import DistributionSettings
 from endivesaddle.fleet.errors import PeerNoReply, PeerRefused, PeerUnreachable
 from endivesaddle.fleet.identity import Identity
@@ -24,7 +24,7 @@
 PUSHED = 'push'
 
 
-class Ahead(NamedTuple):
+class NewerPeer(NamedTuple):
     """A peer that was heard to have a higher revision."""
 
     revision: int
@@ -55,27 +55,27 @@
         self._peers = peers
         self._membership = membership
         self._clock = clock
-        self._holding = Holding(clock)
-        self._relay = Relay(settings, store, self._holding, clock) if store else None
-        self._ahead = Ahead(0, '')
-        self._hearing = Signal()
-        self._pulling = anyio.Lock()
+        self._revision_state = RevisionState(clock)
+        self._relay = Relay(settings, store, self._revision_state, clock) if store else None
+        self._newer_peer = NewerPeer(0, '')
+        self._newer_revision = Signal()
+        self._pull_lock = anyio.Lock()
         self._tasks: TaskGroup | None = None
-        membership.follow_revisions(self._revision, self.heard)
+        membership.follow_revisions(self._revision, self.note_revision)
 
     @property
     def configuration(self) -> Configuration:
         """The configuration in force here."""
-        return self._holding.configuration
+        return self._revision_state.configuration
 
     @property
     def revision(self) -> int:
         """The revision in force here; 0 before the first."""
-        return self._holding.revision
+        return self._revision_state.revision
 
     def on_change(self, listener: Callable[[Configuration], None]) -> None:
         """Call ``listener`` with each configuration that comes into force."""
-        self._holding.listeners.append(listener)
+        self._revision_state.listeners.append(listener)
 
     def register(self, handlers: Handlers) -> None:
         """Answer the calls of distribution."""
@@ -90,15 +90,15 @@
             # A push that comes while the process stops is taken, and not passed on.
             self._tasks = None
 
-    def heard(self, revision: int, address: str) -> None:
+    def note_revision(self, revision: int, address: str) -> None:
         """Note that a peer has a revision; pulls it in the background if higher."""
         if revision > self.revision:
-            self._ahead = Ahead(revision, address)
-            self._hearing.fire()
+            self._newer_peer = NewerPeer(revision, address)
+            self._newer_revision.fire()
 
     async def catch_up(self, revision: int, address: str) -> bool:
         """Pull from a peer unless ``revision`` is in force; tell whether it is now."""
-        async with self._pulling:
+        async with self._pull_lock:
             if self.revision >= revision:
                 return True
             if await self._pull(address):
@@ -107,12 +107,12 @@
 
     def dump(self) -> dict[str, Any]:
         """Return what is in force, for a state dump."""
-        holding = self._holding
+        revision_state = self._revision_state
         return {
-            'revision': holding.revision,
-            'in_force_unix_s': holding.in_force_unix_s,
-            'parts': dict(holding.held.head['parts']),
-            'relay': self._place(),
+            'revision': revision_state.revision,
+            'in_force_unix_s': revision_state.in_force_unix_s,
+            'parts': dict(revision_state.current.head['parts']),
+            'relay': self._rank(),
         }
 
     async def _run(self) -> None:
@@ -120,12 +120,12 @@
             self._tasks = group
             group.start_soon(self._repair)
             if self._relay is not None:
-                group.start_soon(self._relay.run, self._place, self._push)
+                group.start_soon(self._relay.run, self._rank, self._push)
 
     def _revision(self) -> int:
-        return self._holding.revision
+        return self._revision_state.revision
 
-    def _place(self) -> int:
+    def _rank(self) -> int:
         collectors = self._membership.collectors()
         own = self._identity.instance
         return collectors.index(own) if own in collectors else _NO_RELAY
@@ -133,12 +133,12 @@
     async def _repair(self) -> None:
         seen = 0
         while True:
-            seen = await self._hearing.beyond(seen)
-            await self.catch_up(*self._ahead)
+            seen = await self._newer_revision.beyond(seen)
+            await self.catch_up(*self._newer_peer)
 
     async def _pull(self, address: str) -> bool:
         message = members_pb2.PullRequest(
-            have_revision=self.revision, have_digests=list(self._holding.held.bodies)
+            have_revision=self.revision, have_digests=list(self._revision_state.current.bodies)
         )
         deadline_unix_s = self._clock.now_s() + self._settings.pull_call_s
         try:
@@ -147,7 +147,7 @@
             return False
         try:
             whole = packing.unpacked_reply(reply)
-        except packing.Unpackable as error:
+        except packing.PackingError as error:
             events.UNREADABLE.log(error=str(error), source=address)
             return False
         return self._adopt(whole.head, whole.parts, address)
@@ -155,23 +155,23 @@
     def _adopt(self, raw: bytes, parts: Any, source: str) -> bool:
         if not raw:
             return False
-        head = self._holding.readable(raw, source)
+        head = self._revision_state.decode_next(raw, source)
         if head is None:
             return False
         bodies = {part.digest: part.body for part in parts}
-        return self._holding.adopt(raw, head, bodies)
+        return self._revision_state.adopt(raw, head, bodies)
 
     def _push(self) -> None:
         """Tell all that beat to this router, and the other data centres, in the background."""
         self._membership.tell_revision()
         if self._tasks is None:
             return
-        holding = self._holding
+        revision_state = self._revision_state
         message = packing.packed_push(
             members_pb2.PushRequest(
-                head=holding.held.raw,
-                revision=holding.revision,
-                parts=holding.parts(holding.before),
+                head=revision_state.current.raw,
+                revision=revision_state.revision,
+                parts=revision_state.parts(revision_state.previous_digests),
             )
         )
         for address in self._membership.children():
@@ -190,30 +190,30 @@
             return members_pb2.PushReply(revision=self.revision, refused=True)
         try:
             whole = packing.unpacked_push(message)
-        except packing.Unpackable as error:
+        except packing.PackingError as error:
             events.UNREADABLE.log(error=str(error), source=PUSHED)
             return members_pb2.PushReply(revision=self.revision)
-        if self._lacks_nothing(whole) and self._adopt(whole.head, whole.parts, PUSHED):
+        if self._is_complete(whole) and self._adopt(whole.head, whole.parts, PUSHED):
             self._push()
         return members_pb2.PushReply(revision=self.revision)
 
     async def _pulled(self, message: members_pb2.PullRequest) -> members_pb2.PullReply:
-        holding = self._holding
-        if message.have_revision >= holding.revision:
-            return members_pb2.PullReply(revision=holding.revision)
+        revision_state = self._revision_state
+        if message.have_revision >= revision_state.revision:
+            return members_pb2.PullReply(revision=revision_state.revision)
         return packing.packed_reply(
             members_pb2.PullReply(
-                head=holding.held.raw,
-                revision=holding.revision,
-                parts=holding.parts(message.have_digests),
+                head=revision_state.current.raw,
+                revision=revision_state.revision,
+                parts=revision_state.parts(message.have_digests),
             )
         )
 
-    def _lacks_nothing(self, message: members_pb2.PushRequest) -> bool:
+    def _is_complete(self, message: members_pb2.PushRequest) -> bool:
         # A push carries what changed since the revision before; whoever missed
         # that one hears of this revision on the next beat, and pulls.
-        head = self._holding.readable(message.head, PUSHED)
+        head = self._revision_state.decode_next(message.head, PUSHED)
         if head is None:
             return False
         pushed = {part.digest for part in message.parts}
-        return pushed.issuperset(self._holding.lacks(head).values())
+        return pushed.issuperset(self._revision_state.missing_parts(head).values())
--- a/packages/fleet/src/endivesaddle/fleet/distribution/packing.py
+++ b/packages/fleet/src/endivesaddle/fleet/distribution/packing.py
@@ -12,7 +12,7 @@
 _MOST_BYTES = 64 * 1024 * 1024
 
 
-class Unpackable(Exception):
+class PackingError(Exception):
     """A message's packed part is damaged or larger than any configuration."""
 
 
@@ -29,14 +29,14 @@
 
 
 def unpacked_push(message: members_pb2.PushRequest) -> members_pb2.PushRequest:
-    """Return a push as it was; raises ``Unpackable``."""
+    """Return a push as it was; raises ``PackingError``."""
     if not message.packed:
         return message
     return members_pb2.PushRequest.FromString(_inflated(message.packed))
 
 
 def unpacked_reply(message: members_pb2.PullReply) -> members_pb2.PullReply:
-    """Return a reply to a pull as it was; raises ``Unpackable``."""
+    """Return a reply to a pull as it was; raises ``PackingError``."""
     if not message.packed:
         return message
     return members_pb2.PullReply.FromString(_inflated(message.packed))
@@ -47,7 +47,7 @@
     try:
         raw = inflater.decompress(packed, _MOST_BYTES)
     except zlib.error as error:
-        raise Unpackable(f'packed parts are damaged: {error}') from error
+        raise PackingError(f'packed parts are damaged: {error}') from error
     if inflater.unconsumed_tail:
-        raise Unpackable(f'packed parts are larger than {_MOST_BYTES} bytes')
+        raise PackingError(f'packed parts are larger than {_MOST_BYTES} bytes')
     return raw
--- a/packages/fleet/src/endivesaddle/fleet/distribution/relay.py
+++ b/packages/fleet/src/endivesaddle/fleet/distribution/relay.py
@@ -7,7 +7,7 @@
 from endivesaddle.fleet import revisions
 from endivesaddle.fleet.clock import Clock
 from endivesaddle.fleet.distribution import events
-from endivesaddle.fleet.distribution.holding import Holding
+from endivesaddle.fleet.distribution.revision_state import RevisionState
 from endivesaddle.fleet.distribution.settings import DistributionSettings
 from endivesaddle.fleet.errors import StoreUnreachable
 from endivesaddle.fleet.ports import Store
@@ -27,74 +27,78 @@
     """
 
     def __init__(
-        self, settings: DistributionSettings, store: Store, holding: Holding, clock: Clock
+        self,
+        settings: DistributionSettings,
+        store: Store,
+        revision_state: RevisionState,
+        clock: Clock,
     ) -> None:
         """Relay nothing yet."""
         self._settings = settings
         self._store = store
-        self._holding = holding
+        self._revision_state = revision_state
         self._clock = clock
-        self._answers = True
-        self._fetching = anyio.Lock()
+        self._store_answers = True
+        self._fetch_lock = anyio.Lock()
 
-    async def run(self, place: Callable[[], int], adopted: Callable[[], None]) -> None:
-        """Relay for good, whenever ``place`` is 0 or 1; -1 is no relay."""
+    async def run(self, rank: Callable[[], int], on_adopted: Callable[[], None]) -> None:
+        """Relay for good, whenever ``rank`` is 0 or 1; -1 is no relay."""
         while True:
             # A process that has just started knows no other router yet.
             await anyio.sleep(self._settings.relay_check_s)
-            if place() >= 0:
-                events.RELAYING.log(place=place())
-                await self._relay(place, adopted)
-                events.RELAY_ENDED.log(revision=self._holding.revision)
+            if rank() >= 0:
+                events.RELAYING.log(place=rank())
+                await self._relay(rank, on_adopted)
+                events.RELAY_ENDED.log(revision=self._revision_state.revision)
 
-    async def _relay(self, place: Callable[[], int], adopted: Callable[[], None]) -> None:
+    async def _relay(self, rank: Callable[[], int], on_adopted: Callable[[], None]) -> None:
         async with anyio.create_task_group() as group:
-            group.start_soon(self._watch, adopted)
-            group.start_soon(self._reread, place, adopted)
-            while place() >= 0:
+            group.start_soon(self._watch, on_adopted)
+            group.start_soon(self._reread, rank, on_adopted)
+            while rank() >= 0:
                 await anyio.sleep(self._settings.relay_check_s)
             group.cancel_scope.cancel()
 
-    async def _watch(self, adopted: Callable[[], None]) -> None:
+    async def _watch(self, on_adopted: Callable[[], None]) -> None:
         while True:
             try:
                 with anyio.move_on_after(self._settings.watch_s):
-                    await self._follow(adopted)
+                    await self._follow(on_adopted)
             except StoreUnreachable as error:
-                self._tell(answers=False, error=str(error))
+                self._log_store_state(answers=False, error=str(error))
             await anyio.sleep(_RETRY_S)
 
-    async def _follow(self, adopted: Callable[[], None]) -> None:
-        version = await self._read(adopted)
+    async def _follow(self, on_adopted: Callable[[], None]) -> None:
+        version = await self._read(on_adopted)
         async for stored in self._store.watch(revisions.HEAD_KEY, version):
             if stored.value is not None:
-                await self._take(stored.value, adopted)
+                await self._take(stored.value, on_adopted)
 
-    async def _reread(self, place: Callable[[], int], adopted: Callable[[], None]) -> None:
+    async def _reread(self, rank: Callable[[], int], on_adopted: Callable[[], None]) -> None:
         while True:
             await anyio.sleep(self._settings.reread_s)
-            if place() == 0:
+            if rank() == 0:
                 try:
-                    await self._read(adopted)
+                    await self._read(on_adopted)
                 except StoreUnreachable as error:
-                    self._tell(answers=False, error=str(error))
+                    self._log_store_state(answers=False, error=str(error))
 
-    async def _read(self, adopted: Callable[[], None]) -> int:
+    async def _read(self, on_adopted: Callable[[], None]) -> int:
         stored = await self._store.read(revisions.HEAD_KEY, self._deadline_unix_s())
-        self._tell(answers=True, error='')
+        self._log_store_state(answers=True, error='')
         if isinstance(stored, Absent) or stored.value is None:
             return 0
-        await self._take(stored.value, adopted)
+        await self._take(stored.value, on_adopted)
         return stored.version
 
-    async def _take(self, raw: bytes, adopted: Callable[[], None]) -> None:
-        async with self._fetching:
-            head = self._holding.readable(raw, STORE)
+    async def _take(self, raw: bytes, on_adopted: Callable[[], None]) -> None:
+        async with self._fetch_lock:
+            head = self._revision_state.decode_next(raw, STORE)
             if head is None:
                 return
-            bodies = await self._fetch(self._holding.lacks(head))
-        if self._holding.adopt(raw, head, bodies):
-            adopted()
+            bodies = await self._fetch(self._revision_state.missing_parts(head))
+        if self._revision_state.adopt(raw, head, bodies):
+            on_adopted()
 
     async def _fetch(self, wanted: dict[str, str]) -> dict[str, bytes]:
         bodies: dict[str, bytes] = {}
@@ -108,8 +112,8 @@
     def _deadline_unix_s(self) -> float:
         return self._clock.now_s() + self._settings.store_call_s
 
-    def _tell(self, answers: bool, error: str) -> None:
-        if answers != self._answers:
-            self._answers = answers
-            told = events.STORE_BACK if answers else events.STORE_LOST
-            told.log(revision=self._holding.revision, error=error)
+    def _log_store_state(self, answers: bool, error: str) -> None:
+        if answers != self._store_answers:
+            self._store_answers = answers
+            event = events.STORE_BACK if answers else events.STORE_LOST
+            event.log(revision=self._revision_state.revision, error=error)
--- a/packages/fleet/src/endivesaddle/fleet/distribution/holding.py
+++ b/packages/fleet/src/endivesaddle/fleet/distribution/revision_state.py
@@ -10,7 +10,7 @@
 from endivesaddle.wire import members_pb2
 
 
-class Held(NamedTuple):
+class CurrentRevision(NamedTuple):
     """One revision: its head as stored and read, and its parts' bodies by digest."""
 
     raw: bytes
@@ -18,27 +18,27 @@
     bodies: Mapping[str, bytes]
 
 
-class Holding:
+class RevisionState:
     """Move to higher revisions only, each whole or not at all."""
 
     def __init__(self, clock: Clock) -> None:
         """Start before the first revision."""
         self._clock = clock
-        self.held = Held(b'', revisions.empty_head(), {})
-        self.before: frozenset[str] = frozenset()
+        self.current = CurrentRevision(b'', revisions.empty_head(), {})
+        self.previous_digests: frozenset[str] = frozenset()
         """Digests of the revision before: a push carries only what they lack."""
         self.configuration = Configuration()
         self.in_force_unix_s = 0.0
         self.listeners: list[Callable[[Configuration], None]] = []
-        self._told_format = 0
-        self._told_older: set[tuple[int, str]] = set()
+        self._logged_format = 0
+        self._logged_older: set[tuple[int, str]] = set()
 
     @property
     def revision(self) -> int:
         """The revision in force."""
-        return self.held.head['revision']
+        return self.current.head['revision']
 
-    def readable(self, raw: bytes, source: str) -> revisions.Head | None:
+    def decode_next(self, raw: bytes, source: str) -> revisions.Head | None:
         """Return a head that is to come into force, or None with an event."""
         try:
             head = revisions.decode_head(raw)
@@ -46,28 +46,28 @@
             events.UNREADABLE.log(error=str(error), source=source)
             return None
         if head['format'] > revisions.FORMAT:
-            self._tell_format(head, source)
+            self._log_newer_format(head, source)
             return None
         return head if self._is_next(head, raw, source) else None
 
-    def lacks(self, head: revisions.Head) -> dict[str, str]:
+    def missing_parts(self, head: revisions.Head) -> dict[str, str]:
         """Return name and digest of the parts of a head that are not here."""
-        return revisions.missing(head, self.held.bodies)
+        return revisions.missing(head, self.current.bodies)
 
     def adopt(self, raw: bytes, head: revisions.Head, new: Mapping[str, bytes]) -> bool:
         """Bring a revision into force, if it is whole and still higher."""
         if head['revision'] <= self.revision:
             return False
-        known = {**self.held.bodies, **new}
+        known = {**self.current.bodies, **new}
         try:
             configuration = revisions.assemble(head, known)
         except revisions.RevisionError as error:
             events.UNREADABLE.log(error=str(error), revision=head['revision'])
             return False
-        self.before = frozenset(self.held.bodies)
+        self.previous_digests = frozenset(self.current.bodies)
         digests = set(head['parts'].values())
         bodies = {digest: body for digest, body in known.items() if digest in digests}
-        self.held = Held(raw, head, bodies)
+        self.current = CurrentRevision(raw, head, bodies)
         self.configuration = configuration
         self.in_force_unix_s = self._clock.now_s()
         events.IN_FORCE.log(revision=head['revision'])
@@ -77,9 +77,9 @@
 
     def parts(self, have: Iterable[str]) -> list[members_pb2.Part]:
         """Return the parts that a peer with some digests lacks."""
-        wanted = revisions.missing(self.held.head, have)
+        wanted = revisions.missing(self.current.head, have)
         return [
-            members_pb2.Part(name=name, digest=digest, body=self.held.bodies[digest])
+            members_pb2.Part(name=name, digest=digest, body=self.current.bodies[digest])
             for name, digest in wanted.items()
         ]
 
@@ -90,15 +90,15 @@
         # A store that was restored from a backup shows an older head: taking it
         # would bring back budgets and servers that operators have since changed.
         older = revision < self.revision
-        if (older or raw != self.held.raw) and (revision, source) not in self._told_older:
-            self._told_older.add((revision, source))
-            told = events.OLDER_IN_STORE if older else events.FORKED
-            told.log(seen=revision, in_force=self.revision, source=source)
+        if (older or raw != self.current.raw) and (revision, source) not in self._logged_older:
+            self._logged_older.add((revision, source))
+            event = events.OLDER_IN_STORE if older else events.FORKED
+            event.log(seen=revision, in_force=self.revision, source=source)
         return False
 
-    def _tell_format(self, head: revisions.Head, source: str) -> None:
-        if head['revision'] > self._told_format:
-            self._told_format = head['revision']
+    def _log_newer_format(self, head: revisions.Head, source: str) -> None:
+        if head['revision'] > self._logged_format:
+            self._logged_format = head['revision']
             events.NEWER_FORMAT.log(
                 revision=head['revision'],
                 format=head['format'],
