--- a/features/subjects/placing_bursts.py
+++ b/features/subjects/placing_bursts.py
@@ -8,7 +8,7 @@
 
 from endivesaddle.fleet.routes.declared import RouteServer
 from endivesaddle.fleet.routing.backends import Backend, ForwardRoutingRequest
-from endivesaddle.fleet.routing.dispatcher import LARGE_TOKENS
+from endivesaddle.fleet.routing.dispatcher import LARGE_PROMPT_TOKENS
 from endivesaddle.fleet.routing.placement_policies import PlacementContext, placement_policies
 from subjects.placing import Engine
 
@@ -58,7 +58,7 @@
             PlacementContext(routing_request, backends, 'a', True, now_unix_s, self.count)
         )
         backend.start_request(routing_request, now_unix_s)
-        if self._at_once and tokens >= LARGE_TOKENS:
+        if self._at_once and tokens >= LARGE_PROMPT_TOKENS:
             self._talk_unix_s = min(self._talk_unix_s, now_unix_s + TOLD_S)
         first_unix_s = self._engines[backend.server.lifetime].read(routing_request, now_unix_s)
         self._waiting.append((first_unix_s, backend, routing_request))
--- a/packages/fleet/src/endivesaddle/fleet/routing/backends.py
+++ b/packages/fleet/src/endivesaddle/fleet/routing/backends.py
@@ -1,8 +1,8 @@
-"""What a router knows of each backend server that it forwards to: one lane each.
+"""The backend servers as one router sees them.
 
-Decisions only, no input or output.  A lane counts what this router has under
-way there, what of it is still being read, which prompt parts it sent there,
-and how its answers fared; peers' counts are added as they tell them.
+Without I/O.  A ``Backend`` counts the requests that this router has in flight on a server, the
+prompt tokens still in prefill, the prompt parts sent there and the share of failures.  The counts
+of other routers are added when they are reported.
 """
 
 from collections import OrderedDict, deque
@@ -12,29 +12,29 @@
 from endivesaddle.fleet.routes.declared import RouteServer, Service
 
 FAILED_WEIGHT = 0.25
-"""Weight of one answer in the share of failures: four failures in a row show as 0.68."""
-FORGIVEN_S = 6.0
-"""Half of a failure share is forgiven in this time, so that a mended server is tried again."""
-FORGOTTEN_SHARE = 0.05
-"""A smaller share of failures counts as none: an idle fleet would never try the server again."""
-SILENT_S = 1.0
-"""A server that refused a connection or fell silent gets nothing for this long, then one try."""
-LONGEST_SILENT_S = 4.0
-PARTS_S = 20.0
-"""Prompt parts sent longer ago than this are taken as evicted: an engine under load keeps for so
-long what nobody asks for."""
+"""Weight of one response in the share of failures: four failures in a row give 0.68."""
+FAILED_SHARE_HALF_LIFE_S = 6.0
+"""The share of failures halves in this time, so that a repaired server is tried again."""
+MIN_FAILED_SHARE = 0.05
+"""A smaller share counts as none; otherwise an idle fleet would never try the server again."""
+UNREACHABLE_S = 1.0
+"""An unreachable server gets no requests for this long, then one attempt."""
+MAX_UNREACHABLE_S = 4.0
+PART_CACHED_S = 20.0
+"""Prompt parts sent longer ago are considered evicted: an engine under load keeps an unused part
+for about this long."""
 SIDECAR_REPORT_VALID_S = 0.3
-"""The word of the sidecar beside a server counts for so long: the other routers' are as old."""
+"""A sidecar's report takes precedence for this long; reports of other routers are as old."""
 SEND_WINDOW_S = 1.0
-"""Sendings are counted over this time: what a cold server bears is told by the second."""
-MOST_PARTS = 4000
-"""Parts remembered for one server."""
+"""Window over which sent requests are counted; limits of cold servers are per second."""
+MAX_PARTS = 4000
+"""Prompt parts remembered per server."""
 
 
 class ForwardRoutingRequest(NamedTuple):
-    """What a forwarded request asks of a server.
+    """What a forwarded request needs from a server.
 
-    ``parts`` are (id, tokens) of the prompt in order, the last one its own.
+    ``parts`` are (id, tokens) of the prompt in order; only this request has the last one.
     """
 
     key: str
@@ -46,15 +46,15 @@
 
     @property
     def shared_part(self) -> str:
-        """Return the id of the last part that other requests may share."""
+        """The id of the last part that other requests may share, '' if there is none."""
         return self.parts[-2][0] if len(self.parts) > 1 else ''
 
 
 class Backend:
-    """One server as this router met it."""
+    """One backend server as this router sees it."""
 
     def __init__(self, server: RouteServer) -> None:
-        """Start with nothing sent.
+        """Initialize with no requests.
 
         ``own_prefilling_tokens`` were sent by this router and are not known to be processed yet.
         """
@@ -79,67 +79,67 @@
 
     @property
     def own_in_flight(self) -> int:
-        """Requests of this router."""
+        """Requests of this router on the server."""
         return len(self.prefilling) + len(self.running)
 
     @property
     def in_flight(self) -> int:
-        """Requests of this router and, as last told, of the others."""
+        """Requests of all routers on the server, the others' as last reported."""
         return self.own_in_flight + self.others_in_flight
 
     @property
     def prefilling_tokens(self) -> int:
-        """Prompt tokens on the way to be read, of all routers as last told."""
+        """Prompt tokens in prefill, of all routers, the others' as last reported."""
         return self.own_prefilling_tokens + self.others_prefilling_tokens
 
     def apply_sidecar_report(self, requests: int, tokens: int, now_unix_s: float) -> None:
-        """Take in what the sidecar beside the server says that other routers have there."""
+        """Apply the sidecar's count of the requests and tokens of the other routers."""
         self.others_in_flight = requests
         self.others_prefilling_tokens = tokens
         self.sidecar_report_unix_s = now_unix_s
 
     def uncached_tokens(self, request: ForwardRoutingRequest, now_unix_s: float) -> int:
-        """Return the tokens of a prompt that the server has to read."""
-        unread = request.prompt_tokens
+        """Return the prompt tokens that the server has to process."""
+        uncached = request.prompt_tokens
         for part, tokens in request.parts:
             sent_unix_s = self._parts.get(part)
-            if sent_unix_s is None or now_unix_s - sent_unix_s > PARTS_S:
+            if sent_unix_s is None or now_unix_s - sent_unix_s > PART_CACHED_S:
                 break
-            unread -= tokens
-        return max(0, unread)
+            uncached -= tokens
+        return max(0, uncached)
 
     def has_part(self, part: str, now_unix_s: float) -> bool:
-        """Tell whether a part was sent there lately."""
+        """Return whether a part was sent recently enough to be cached."""
         sent_unix_s = self._parts.get(part)
-        return sent_unix_s is not None and now_unix_s - sent_unix_s <= PARTS_S
+        return sent_unix_s is not None and now_unix_s - sent_unix_s <= PART_CACHED_S
 
     def start_request(self, request: ForwardRoutingRequest, now_unix_s: float) -> None:
-        """Note that a request goes there now."""
+        """Record that a request is sent now."""
         self._end_prefill(request)
         self.prefilling[request.key] = self.uncached_tokens(request, now_unix_s)
         self.own_prefilling_tokens += self.prefilling[request.key]
         self.add_parts([part for part, _ in request.parts], now_unix_s)
 
     def add_parts(self, parts: Iterable[str], now_unix_s: float) -> None:
-        """Note that parts of prompts went there now, from here or from another router."""
+        """Record prompt parts sent now by this or another router."""
         for part in parts:
             self._parts[part] = now_unix_s
             self._parts.move_to_end(part)
-        while len(self._parts) > MOST_PARTS:
+        while len(self._parts) > MAX_PARTS:
             self._parts.popitem(last=False)
 
     def first_event(self, request: ForwardRoutingRequest) -> None:
-        """Note the first event of an answer: its prompt is read."""
+        """Record the first event of a response: prefill is complete."""
         if self._end_prefill(request):
             self.running[request.key] = request.prompt_tokens
 
     def end_request(self, request: ForwardRoutingRequest) -> None:
-        """Note that nothing of a request is under way there any more."""
+        """Record that a request has ended on the server."""
         self._end_prefill(request)
         self.running.pop(request.key, None)
 
     def record_outcome(self, success: bool, now_unix_s: float) -> None:
-        """Note whether an answer was sound."""
+        """Record whether a request succeeded."""
         if success:
             self._failed_contacts = 0
             self._mark_reachable(now_unix_s)
@@ -150,52 +150,52 @@
         self._failed_unix_s = now_unix_s
 
     def mark_unreachable(self, now_unix_s: float, process_ended: bool = False) -> None:
-        """Note that the server could not be reached: nothing goes there for a while.
+        """Record that the server is unreachable; it gets no requests for a while.
 
         With ``process_ended`` its process is gone.  It may start again under its name and is cold
         then, before its entry in the store says so; so may a server whose entry tells when it was
         born.
         """
         self._may_be_cold = process_ended or bool(self.server.born_unix_ms)
-        pause_s = min(LONGEST_SILENT_S, SILENT_S * 2**self._failed_contacts)
+        pause_s = min(MAX_UNREACHABLE_S, UNREACHABLE_S * 2**self._failed_contacts)
         self._failed_contacts += 1
         self.unreachable_until_unix_s = now_unix_s + pause_s
         self.record_outcome(success=False, now_unix_s=now_unix_s)
 
     def cold_until_unix_s(self, cold_s: float, now_unix_s: float) -> float:
-        """Return until when the server may be cold after it was silent, by what this router met."""
+        """Return until when the server may be cold after it was unreachable, 0 if it is not."""
         if self._may_be_cold:
             return now_unix_s + cold_s
         return self._reachable_since_unix_s + cold_s if self._reachable_since_unix_s else 0.0
 
     def record_send(self, now_unix_s: float) -> None:
-        """Count a request that goes there now; older ones than a second are forgotten."""
+        """Count a request that is sent now; drop those older than a second."""
         self._send_times.append(now_unix_s)
         self.sent_in_last_second(now_unix_s)
 
     def sent_in_last_second(self, now_unix_s: float) -> int:
-        """Return how many requests went there within the last second."""
+        """Return the number of requests sent within the last second."""
         while self._send_times and self._send_times[0] <= now_unix_s - SEND_WINDOW_S:
             self._send_times.popleft()
         return len(self._send_times)
 
     def next_send_unix_s(self, now_unix_s: float) -> float:
-        """Return when the oldest of them counts no more."""
+        """Return when the oldest counted request leaves the window."""
         if not self.sent_in_last_second(now_unix_s):
             return now_unix_s
         return self._send_times[0] + SEND_WINDOW_S
 
     def accepts_requests(self, now_unix_s: float) -> bool:
-        """Tell whether the server takes requests of this router, as far as it said."""
+        """Return whether the server has not asked this router to stay away."""
         return self.rejecting_until_unix_s <= now_unix_s
 
     def failed_share(self, now_unix_s: float) -> float:
-        """Return the share of failures, old ones forgiven by halves."""
+        """Return the share of failures, with exponential decay."""
         if not self._failed_share:
             return 0.0
         passed_s = max(0.0, now_unix_s - self._failed_unix_s)
-        share = self._failed_share * 0.5 ** (passed_s / FORGIVEN_S)
-        return 0.0 if share < FORGOTTEN_SHARE else share
+        share = self._failed_share * 0.5 ** (passed_s / FAILED_SHARE_HALF_LIFE_S)
+        return 0.0 if share < MIN_FAILED_SHARE else share
 
     def _mark_reachable(self, now_unix_s: float) -> None:
         if self._may_be_cold:
@@ -203,38 +203,38 @@
             self._reachable_since_unix_s = now_unix_s
 
     def _end_prefill(self, request: ForwardRoutingRequest) -> bool:
-        """Take a prompt off those that are being read; True if it was one of them."""
+        """Remove a request from prefill; return whether it was in prefill."""
         tokens = self.prefilling.pop(request.key, None)
         self.own_prefilling_tokens -= tokens or 0
         return tokens is not None
 
 
 class Backends:
-    """The lanes of all known servers."""
+    """All known backend servers."""
 
     def __init__(self) -> None:
-        """Start without any."""
+        """Initialize with no servers."""
         self._backends: dict[str, Backend] = {}
 
     def of(self, server: RouteServer) -> Backend:
-        """Return the lane of a server."""
+        """Return the backend of a server, creating it if needed."""
         backend = self._backends.get(server.lifetime)
         if backend is None or backend.server.born_unix_ms != server.born_unix_ms:
-            # Started again, a server keeps nothing of before: no parts, no work, no failures.
+            # A restarted server has no cached parts, no requests and no failures.
             backend = Backend(server)
             self._backends[server.lifetime] = backend
         backend.server = server
         return backend
 
     def find(self, lifetime: str) -> Backend | None:
-        """Return the lane of a server that was met or listed, if any."""
+        """Return the backend of a known server, or None."""
         return self._backends.get(lifetime)
 
     def drop_all_but(self, lifetimes: set[str], now_unix_s: float) -> None:
-        """Forget servers that are gone and have nothing under way.
+        """Drop servers that are gone and have no request of this router.
 
-        Not one that wants nothing for a while: its entry may be back before that is over, and
-        without the lane it would get requests at once.
+        A server that rejects requests for a while is kept: its entry may return before that time
+        is over, and a new backend would get requests at once.
         """
         for lifetime in set(self._backends) - lifetimes:
             backend = self._backends[lifetime]
@@ -242,9 +242,9 @@
                 del self._backends[lifetime]
 
     def apply_reports(self, loads: dict[str, tuple[int, int]], now_unix_s: float) -> None:
-        """Take in what other routers have at each server: requests, and tokens to read.
+        """Apply the other routers' counts per server: requests and prefilling tokens.
 
-        What the sidecar beside a server said just now is better than their words.
+        A fresh report of the sidecar beside a server takes precedence.
         """
         for lifetime, backend in self._backends.items():
             if now_unix_s - backend.sidecar_report_unix_s < SIDECAR_REPORT_VALID_S:
@@ -254,10 +254,10 @@
             backend.others_prefilling_tokens = tokens
 
     def all(self) -> tuple[Backend, ...]:
-        """Return every lane."""
+        """Return all backends."""
         return tuple(self._backends.values())
 
 
 def is_engine(service: Service | None) -> bool:
-    """Tell whether a service's servers are model engines."""
+    """Return whether the servers of a service are model engines."""
     return service is not None and service.engine
--- a/packages/fleet/src/endivesaddle/fleet/routing/candidates.py
+++ b/packages/fleet/src/endivesaddle/fleet/routing/candidates.py
@@ -1,4 +1,4 @@
-"""Which backend servers a forwarded request may go to now, and why there is none."""
+"""Select the backend servers that may get a forwarded request now."""
 
 from typing import NamedTuple
 
@@ -9,19 +9,19 @@
 from endivesaddle.fleet.routing.send_limits import SendLimits
 
 EVACUATED_S = 2.0
-"""Where all data centres are evacuated, callers come back after this: an operator takes one back
-after seconds at the least."""
+"""Retry-After while all data centres are evacuated: returning one to service takes an operator
+several seconds."""
 
 
 class NoServer(NamedTuple):
-    """Why no server may be sent a request, and in how many seconds one may, 0 for unknown."""
+    """Why no server is available, and the seconds until one may be, 0 if unknown."""
 
     reason: str
     wait_s: float = 0.0
 
 
 class Candidates:
-    """The servers of one router; ``regions`` are "data-centre=region"."""
+    """Candidate servers of one router; ``regions`` has entries "data-centre=region"."""
 
     def __init__(
         self,
@@ -39,11 +39,11 @@
     def open(
         self, request: ForwardRequest, service: str, exclude: frozenset[str], now_unix_s: float
     ) -> list[Backend]:
-        """Return the servers that may be used: those heard of late, or else all that want requests.
+        """Return the servers that may be used, unreachable ones only if there is no other.
 
-        A server that does not want any has said so; one that fell silent may be back.
+        A server that rejects requests has said so; an unreachable one may be back.
         """
-        servers = self._at_home(request, self._routing_state.available_servers(service))
+        servers = self._in_home_regions(request, self._routing_state.available_servers(service))
         backends = [self._backends.of(one) for one in servers if one.lifetime not in exclude]
         backends = [backend for backend in backends if backend.accepts_requests(now_unix_s)]
         backends = [
@@ -52,37 +52,39 @@
         return [backend for backend in backends if self._send_limits.allows(backend, now_unix_s)]
 
     def why_none(self, request: ForwardRequest, service: str, now_unix_s: float) -> NoServer:
-        """Return why no server is open, and when the first of them may be sent requests again.
+        """Return why no server is available, and when the first one may get requests again.
 
-        Load pattern: all servers of a service turn requests away and say for how long, are cold,
-        named a limit, or lie in evacuated data centres.  Told to come back sooner, callers used up
-        their tries.
+        Load pattern: all servers of a service reject requests for a stated time, are cold, have
+        advertised a limit or are in evacuated data centres.  With a shorter Retry-After, callers
+        used up their retries.
         """
         evacuated_too = self._routing_state.staying_servers(service)
-        if evacuated_too and not self._at_home(request, evacuated_too):
+        if evacuated_too and not self._in_home_regions(request, evacuated_too):
             return NoServer('no server of the service is in a home region')
-        servers = self._at_home(request, self._routing_state.available_servers(service))
+        servers = self._in_home_regions(request, self._routing_state.available_servers(service))
         if evacuated_too and not servers:
             return NoServer('all servers of the service are in evacuated data centres', EVACUATED_S)
-        free_unix_s = [self._free_unix_s(self._backends.of(one), now_unix_s) for one in servers]
-        wait_s = min(free_unix_s, default=now_unix_s) - now_unix_s
+        next_send_unix_s = [
+            self._next_send_unix_s(self._backends.of(one), now_unix_s) for one in servers
+        ]
+        wait_s = min(next_send_unix_s, default=now_unix_s) - now_unix_s
         if wait_s <= 0:
             return NoServer('no server of the service can be reached')
         return NoServer(
             'all servers of the service are cold, limited or turn requests away', wait_s
         )
 
-    def _at_home(
+    def _in_home_regions(
         self, request: ForwardRequest, servers: tuple[RouteServer, ...]
     ) -> tuple[RouteServer, ...]:
-        """Return the servers in the request's home regions, all where it has none."""
+        """Return the servers in the request's home regions, all servers if it has none."""
         homes = request.homes
         if homes is None:
             return servers
         return tuple(one for one in servers if self._regions.get(one.data_centre) in homes)
 
-    def _free_unix_s(self, backend: Backend, now_unix_s: float) -> float:
-        """Return when a server may be sent a request of this router, as far as is known."""
+    def _next_send_unix_s(self, backend: Backend, now_unix_s: float) -> float:
+        """Return when this router may next send a request to a server, as far as known."""
         return max(
             backend.rejecting_until_unix_s, self._send_limits.next_send_unix_s(backend, now_unix_s)
         )
--- a/packages/fleet/src/endivesaddle/fleet/routing/cold_starts.py
+++ b/packages/fleet/src/endivesaddle/fleet/routing/cold_starts.py
@@ -1,8 +1,9 @@
-"""Cold servers: how many requests this router may send one within a second.
+"""Rate limits for cold servers: how many requests this router may send to one per second.
 
-Load pattern: a server has just started, or may have.  With nothing under way there it looks best to
-all routers at once, and ends under what they send together.  The bound is the service's, over all
-routers; no router asks another, so that it holds while they are cut off from each other.
+Load pattern: a server has just started, or may have.  Without requests it is the first choice of
+all routers at once, and crashes under their combined load.  The limit is declared for the service
+and applies to all routers together.  Routers don't coordinate it by calls, so that it holds while
+they can't reach each other.
 """
 
 from collections.abc import Callable, Collection
@@ -14,15 +15,15 @@
 from endivesaddle.fleet.routing.backends import Backend
 from endivesaddle.fleet.routing.rendezvous import weight
 
-ENTERED_S = 0.3
-"""A request that is sent later than this after it was let in counts anew: its connection took long,
-and others may have been let in since."""
+RECOUNT_AFTER_S = 0.3
+"""A request sent later than this after it was counted is counted again: its connection took long,
+and other requests may have been counted since."""
 
 
 class ColdStartContext(NamedTuple):
-    """What a policy decides on: a cold server, its bound, and the routers that may send to it.
+    """The input of a policy: a cold server, its limit, and the routers that may send to it.
 
-    ``routers_known`` tells whether this router has had time to hear of the others.
+    ``routers_known`` is False until this router has had time to learn of the others.
     """
 
     server: str
@@ -34,17 +35,17 @@
 
 
 ColdPolicy = Callable[[ColdStartContext], int]
-"""Returns the requests that this router may send the server within any second."""
+"""Returns the number of requests that this router may send to the server in any second."""
 
 cold_policies: Registry[ColdPolicy] = Registry('cold start policy')
 
 
 @cold_policies.add('few_routers')
 def few_routers(context: ColdStartContext) -> int:
-    """Let as many routers as the server bears requests send one each, the same for all routers.
+    """Let as many routers as the limit allows send one request each; all agree on the choice.
 
-    With fewer routers than that, each has the same part.  A router that has just started and does
-    not know the others sends nothing, as all may start at once.
+    If there are fewer routers, each gets an equal share.  A router that has just started and does
+    not know the others sends nothing, since all may have started at once.
     """
     most = int(context.per_s)
     if not context.routers_known:
@@ -57,9 +58,9 @@
 
 @cold_policies.add('time_slots')
 def time_slots(context: ColdStartContext) -> int:
-    """Let routers take turns by the clock: one request in a slot of ``1 / per_s`` seconds.
+    """Let routers take turns by the clock: one request per slot of ``1 / per_s`` seconds.
 
-    It needs clocks that agree to a slot's length, and a request that arrives in the slot.
+    The clocks must agree to within a slot, and a request must arrive during the slot.
     """
     order = sorted(context.routers)
     if not context.routers_known or context.own not in order:
@@ -69,10 +70,13 @@
 
 
 class ColdStartLimits:
-    """What this router may send to cold servers; ``routers`` are all addresses, its ``own`` too."""
+    """Limits on what this router sends to cold servers.
+
+    ``routers`` are the addresses of all routers, with its ``own``.
+    """
 
     def __init__(self, policy: str, routing_state: RoutingState, own: str) -> None:
-        """Decide by a registered policy for the router ``own``."""
+        """Use a registered policy for the router ``own``."""
         self.own = own
         self.routers: Collection[str] = (own,)
         self.routers_known = False
@@ -81,7 +85,7 @@
         self._routing_state = routing_state
 
     def cold_until_unix_s(self, backend: Backend, now_unix_s: float) -> float:
-        """Return until when a server is cold, or may be; 0 where it is not."""
+        """Return until when a server is or may be cold, 0 if it is not."""
         service = self._service(backend)
         if service is None or not service.cold_per_s:
             return 0.0
@@ -92,32 +96,32 @@
         return until_unix_s if until_unix_s > now_unix_s else 0.0
 
     def allows(self, backend: Backend, now_unix_s: float) -> bool:
-        """Tell whether a server may be sent a request of this router now."""
+        """Return whether this router may send a request to a server now."""
         if not self.cold_until_unix_s(backend, now_unix_s):
             return True
-        return backend.sent_in_last_second(now_unix_s) < self._allowed(backend, now_unix_s)
+        return backend.sent_in_last_second(now_unix_s) < self._allowed_per_s(backend, now_unix_s)
 
     def try_acquire(self, backend: Backend, now_unix_s: float) -> bool:
-        """Count a request for a server, or tell False where a cold one bears no more."""
+        """Count a request for a server; False if a cold server is at its limit."""
         if not self.allows(backend, now_unix_s):
             return False
         backend.record_send(now_unix_s)
         return True
 
-    def may_still_send(self, backend: Backend, entered_unix_s: float, now_unix_s: float) -> bool:
-        """Tell right before it is sent whether a request that was let in may still go."""
-        if now_unix_s - entered_unix_s <= ENTERED_S:
+    def may_still_send(self, backend: Backend, acquired_unix_s: float, now_unix_s: float) -> bool:
+        """Return whether a request that was counted earlier may be sent now."""
+        if now_unix_s - acquired_unix_s <= RECOUNT_AFTER_S:
             return True
         return self.try_acquire(backend, now_unix_s)
 
     def next_send_unix_s(self, backend: Backend, now_unix_s: float) -> float:
-        """Return when a cold server may be sent the next request of this router."""
+        """Return when this router may send the next request to a cold server."""
         until_unix_s = self.cold_until_unix_s(backend, now_unix_s)
-        if self._allowed(backend, now_unix_s):
+        if self._allowed_per_s(backend, now_unix_s):
             until_unix_s = min(until_unix_s, backend.next_send_unix_s(now_unix_s))
         return until_unix_s
 
-    def _allowed(self, backend: Backend, now_unix_s: float) -> int:
+    def _allowed_per_s(self, backend: Backend, now_unix_s: float) -> int:
         service = self._service(backend)
         per_s = service.cold_per_s if service else 0.0
         name = backend.server.lifetime
--- a/packages/fleet/src/endivesaddle/fleet/routing/dispatcher.py
+++ b/packages/fleet/src/endivesaddle/fleet/routing/dispatcher.py
@@ -1,4 +1,4 @@
-"""Decide for forwarded requests: which server, whether again, and what a refusal says."""
+"""Decisions on forwarded requests: the server, retries, and refusals."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -13,7 +13,7 @@
 from endivesaddle.fleet.routing.cold_starts import ColdStartLimits
 from endivesaddle.fleet.routing.crash_records import CrashRecords
 from endivesaddle.fleet.routing.engine_selection import (
-    ASKED_TOKENS,
+    MIN_ASKED_TOKENS,
     Admission,
     NoAdmission,
     select_engine,
@@ -32,92 +32,94 @@
 from endivesaddle.fleet.sentinels import NOT_RUN, Refusal
 
 UNAVAILABLE = 503
-AGAIN_S = 0.4
-"""Servers that are full or unknown are asked for again after this, spread by half."""
-SPREAD = 0.5
-LEAST_ROUTERS = 2
-LARGE_TOKENS = 3000
-"""A prompt with so much to read is told to the other routers at once.
+RETRY_AFTER_S = 0.4
+"""Callers of full or unknown servers are told to retry after this long, plus jitter."""
+JITTER = 0.5
+MIN_ROUTERS = 2
+LARGE_PROMPT_TOKENS = 3000
+"""A prompt with at least this many uncached tokens is reported to the other routers at once.
 
-Failure: routers that heard of it only in their next talk sent theirs to the same engine, where
-they waited behind it."""
+Failure: routers that learned of it only with the next regular report sent their prompts to the
+same engine, where they waited behind it."""
 
 
 class Placement:
-    """A place for one request at one server; ``start`` and ``finish`` bound its use."""
+    """The assignment of one request to one server, used from ``start`` to ``finish``."""
 
     def __init__(
         self, dispatcher: 'Dispatcher', backend: Backend, routing_request: ForwardRoutingRequest
     ) -> None:
-        """Offer ``backend`` to ``routing_request``."""
+        """Assign ``routing_request`` to ``backend``."""
         self.backend = backend
-        self._entered_unix_s = dispatcher.now_s()
+        self._acquired_unix_s = dispatcher.now_s()
         self.uncached_tokens = backend.uncached_tokens(routing_request, dispatcher.now_s())
         self._dispatcher = dispatcher
         self._request = routing_request
 
     def may_send(self) -> bool:
-        """Tell right before the request is sent whether it may still go there."""
+        """Return whether the request may still be sent; called right before sending."""
         now_unix_s = self._dispatcher.now_s()
-        takes = self._dispatcher.accepts_requests(self.backend)
-        return takes and self._dispatcher.send_limits.may_still_send(
-            self.backend, self._entered_unix_s, now_unix_s
+        accepts = self._dispatcher.accepts_requests(self.backend)
+        return accepts and self._dispatcher.send_limits.may_still_send(
+            self.backend, self._acquired_unix_s, now_unix_s
         )
 
     def start(self) -> None:
-        """Note that the request is sent."""
+        """Record that the request is sent."""
         self.backend.start_request(self._request, self._dispatcher.now_s())
         self._dispatcher.sent_parts.note(self.backend.server.lifetime, self._request)
-        if self.uncached_tokens >= LARGE_TOKENS:
+        if self.uncached_tokens >= LARGE_PROMPT_TOKENS:
             for listener in self._dispatcher.large_prompt_listeners:
                 listener()
 
     def first_event(self) -> None:
-        """Note an event of the answer; the first one tells that the prompt is read.
+        """Record an event of the response; the first one shows that the prompt is processed.
 
-        The sidecar beside the engine is told at the first one alone: a call for each event would
-        cost more than passing the event on.
+        The sidecar beside the engine is notified of the first event only: a call for each event
+        would cost more than relaying the event.
         """
         if self._request.key not in self.backend.prefilling:
             return
         self.backend.first_event(self._request)
-        self._dispatcher.admission.changed(self.backend, soon=self.uncached_tokens >= ASKED_TOKENS)
+        self._dispatcher.admission.changed(
+            self.backend, soon=self.uncached_tokens >= MIN_ASKED_TOKENS
+        )
 
     def finish(self, success: bool) -> None:
-        """Note that nothing is under way there any more."""
+        """Record that the request has ended on the server."""
         read = self._request.key not in self.backend.prefilling
         self.backend.end_request(self._request)
-        soon = not read and self.uncached_tokens >= ASKED_TOKENS
+        soon = not read and self.uncached_tokens >= MIN_ASKED_TOKENS
         self._dispatcher.admission.changed(self.backend, soon=soon)
         self.backend.record_outcome(success, self._dispatcher.now_s())
 
     def mark_unreachable(self, process_ended: bool) -> None:
-        """Note that the server can't be reached; ``process_ended`` if its process is gone."""
+        """Record that the server is unreachable; ``process_ended`` if its process is gone."""
         self.backend.mark_unreachable(self._dispatcher.now_s(), process_ended)
 
     def count_declined(self) -> None:
-        """Note that the server had no room."""
+        """Count a request that the server declined for lack of capacity."""
         self._dispatcher.counts['declined'] += 1
 
     def apply_signals(self, answer: ServerResponse) -> None:
-        """Note what the server told of itself in the head of its answer."""
-        # Nobody knows when the answer of another request was begun.
-        sent_unix_s = self._entered_unix_s if answer.own else 0.0
-        heading = SignalHeader('', answer.status, sent_unix_s, self._dispatcher.now_s())
-        apply_signals(answer.signals, heading, self.backend, self._dispatcher.routing_state)
+        """Apply the signals that the server sent in the headers of its response."""
+        # A response to another request was sent at an unknown time.
+        sent_unix_s = self._acquired_unix_s if answer.own else 0.0
+        header = SignalHeader('', answer.status, sent_unix_s, self._dispatcher.now_s())
+        apply_signals(answer.signals, header, self.backend, self._dispatcher.routing_state)
 
     def mark_misdirected(self) -> None:
-        """Note that the address belongs to another server now."""
+        """Record that another server has the address now."""
         self._dispatcher.routing_state.remove_server(self.backend.server.lifetime, 'misdirected')
 
 
 class Dispatcher:
-    """The decisions of one router."""
+    """Decides for one router where forwarded requests go."""
 
     def __init__(
         self, settings: ForwardSettings, routing_state: RoutingState, clock: Clock, name: str
     ) -> None:
-        """Decide on what ``routing_state`` holds; random choices are seeded by ``name``."""
+        """Use the servers of ``routing_state``; ``name`` seeds the random choices."""
         self.routing_state = routing_state
         self.backends = Backends()
         self.sent_parts = SentParts()
@@ -129,37 +131,37 @@
         self.large_prompt_listeners: list[Callable[[], None]] = []
         self.counts: Counter[str] = Counter()
         self.admission: Admission = NoAdmission()
-        self.router_count = LEAST_ROUTERS
+        self.router_count = MIN_ROUTERS
         self._settings = settings
         self._clock = clock
         self._random = Random(name)
         self._candidates = Candidates(
             routing_state, self.backends, self.send_limits, settings.regions
         )
-        self._shares: dict[str, RetryShare] = {}
+        self._retry_shares: dict[str, RetryShare] = {}
         self._turn = 0
 
     def now_s(self) -> float:
-        """Return the time now, in Unix seconds."""
+        """Return the current time in Unix seconds."""
         return self._clock.now_s()
 
     def server_list_age_s(self) -> float:
-        """Return how long ago, in seconds, the store told of the servers here.
+        """Return the age of the list of servers, in seconds since the store last confirmed it.
 
-        A poll that waits for a change counts from its beginning: 2.7 s are the most while the store
-        answers.
+        A long poll counts from its beginning, so the age is at most 2.7 s while the store is
+        available.
         """
         return round(self.now_s() - self.routing_state.servers_heard_unix_s, 2)
 
     async def place(self, request: ForwardRequest, exclude: frozenset[str]) -> Placement | Refusal:
-        """Choose a server for a request, not one that it was sent to already."""
+        """Choose a server for a request; servers in ``exclude`` have had it already."""
         service = self._service(request)
         routing_request = request.routing_request(service)
         if not exclude:
-            self._share(service).request(self.now_s())
+            self._retry_share(service).request(self.now_s())
         backends = self._candidates.open(request, service, exclude, self.now_s())
         if not backends:
-            return self._none(request, service)
+            return self._refuse_no_server(request, service)
         engine = is_engine(
             self.routing_state.declarations.services.get(service)
             if self.routing_state.declarations
@@ -176,13 +178,15 @@
             self.now_s(),
             self._turn,
         )
-        backend = await self._enter(context, placement_policies.find(name))
+        backend = await self._acquire(context, placement_policies.find(name))
         return (
-            Placement(self, backend, routing_request) if backend else self._none(request, service)
+            Placement(self, backend, routing_request)
+            if backend
+            else self._refuse_no_server(request, service)
         )
 
     def check_held_back(self, request: ForwardRequest) -> Refusal | None:
-        """Refuse a request that ended too many servers; None where it may run."""
+        """Refuse a request that crashed too many servers; None if it may run."""
         if not self.crashes:
             return None
         held_s = self.crashes.held_s(request.digest(), self.now_s())
@@ -193,31 +197,31 @@
         return Refusal('ends_servers', reason, NOT_RUN, UNAVAILABLE, round(held_s, 2))
 
     def record_success(self, request: ForwardRequest) -> None:
-        """Note that a request was answered with success."""
+        """Record that a request was answered successfully."""
         if self.crashes:
             self.crashes.record_success(request.digest(), self.now_s())
 
     def refuse_overloaded(self, request: ForwardRequest, reason: str) -> Refusal:
-        """Refuse what ran nowhere, with a time to come back that spreads the callers."""
-        again_s = AGAIN_S * (1 + SPREAD * self._random.random())
-        return Refusal('overloaded', reason, NOT_RUN, UNAVAILABLE, round(again_s, 2))
+        """Refuse a request that did not run, with a Retry-After that spreads the callers."""
+        retry_after_s = RETRY_AFTER_S * (1 + JITTER * self._random.random())
+        return Refusal('overloaded', reason, NOT_RUN, UNAVAILABLE, round(retry_after_s, 2))
 
     def accepts_requests(self, backend: Backend) -> bool:
-        """Tell whether a server may be sent a request now."""
+        """Return whether a server accepts requests now."""
         return self.routing_state.accepts_requests(backend.server) and backend.accepts_requests(
             self.now_s()
         )
 
     def may_retry(self, request: ForwardRequest) -> bool:
-        """Spend one repeat of the service's share."""
-        allowed = self._share(self._service(request)).allow(self.now_s(), self.router_count)
+        """Spend one retry of this router's share for the service; False if none is left."""
+        allowed = self._retry_share(self._service(request)).allow(self.now_s(), self.router_count)
         self.counts['repeats_allowed' if allowed else 'repeats_refused'] += 1
         return allowed
 
     def event_tokens(self, request: ForwardRequest) -> int:
-        """Return the most output tokens in one event of the answer.
+        """Return the maximum of output tokens in one event of the response.
 
-        Where the service does not say, one event may be the whole answer: counted as
+        If the service does not declare it, one event may be the whole response.  Counted as
         nothing, streams of a plain service would overdraw the account.
         """
         declarations = self.routing_state.declarations
@@ -226,7 +230,7 @@
         return said or request.max_tokens
 
     def dump(self) -> dict[str, dict[str, float]]:
-        """Return what is known of each server, for operators."""
+        """Return the state of each server for operators."""
         now_unix_s = self.now_s()
         return {
             backend.server.lifetime: {
@@ -239,28 +243,30 @@
             for backend in self.backends.all()
         }
 
-    async def _enter(self, context: PlacementContext, policy: PlacementPolicy) -> Backend | None:
-        """Choose a server and count the request there, passing over those that bear no more."""
+    async def _acquire(self, context: PlacementContext, policy: PlacementPolicy) -> Backend | None:
+        """Choose a server and count the request against its limits; skip servers at a limit."""
         backends = list(context.backends)
         while backends:
-            left = context._replace(backends=backends)
+            remaining = context._replace(backends=backends)
             if context.engine and len(backends) > 1:
-                backend = await select_engine(left, policy, self.admission)
+                backend = await select_engine(remaining, policy, self.admission)
             else:
-                backend = policy(left)
+                backend = policy(remaining)
             if self.send_limits.try_acquire(backend, self.now_s()):
                 return backend
             backends.remove(backend)
         return None
 
-    def _none(self, request: ForwardRequest, service: str) -> Refusal:
-        """Refuse where no server is open, until one may be."""
+    def _refuse_no_server(self, request: ForwardRequest, service: str) -> Refusal:
+        """Refuse a request that no server may get, with the wait until one may."""
         found = self._candidates.why_none(request, service, self.now_s())
         refusal = self.refuse_overloaded(request, found.reason)
         if not found.wait_s:
             return refusal
-        again_s = max(found.wait_s, AGAIN_S) + AGAIN_S * SPREAD * self._random.random()
-        return refusal._replace(retry_after_s=round(again_s, 2))
+        retry_after_s = (
+            max(found.wait_s, RETRY_AFTER_S) + RETRY_AFTER_S * JITTER * self._random.random()
+        )
+        return refusal._replace(retry_after_s=round(retry_after_s, 2))
 
     def _cold_s(self, backend: Backend) -> float:
         now_unix_s = self.now_s()
@@ -269,20 +275,20 @@
         )
 
     def _service(self, request: ForwardRequest) -> str:
-        """Return the service of a request: the same whenever it is asked."""
+        """Return the service of a request, the same on each call."""
         targets = request.route.targets
         if len(targets) == 1:
             return targets[0].service
-        return _drawn(request.route, Random(request.request_id))
+        return _pick_service(request.route, Random(request.request_id))
 
-    def _share(self, service: str) -> RetryShare:
-        share = self._shares.get(service)
+    def _retry_share(self, service: str) -> RetryShare:
+        share = self._retry_shares.get(service)
         if share is None:
             share = RetryShare(self._settings.retry_ratio, self._settings.retry_slack)
-            self._shares[service] = share
+            self._retry_shares[service] = share
         return share
 
 
-def _drawn(route: Route, random: Random) -> str:
+def _pick_service(route: Route, random: Random) -> str:
     names = [target.service for target in route.targets]
     return random.choices(names, [target.weight for target in route.targets])[0]
--- a/packages/fleet/src/endivesaddle/fleet/routing/engine_selection.py
+++ b/packages/fleet/src/endivesaddle/fleet/routing/engine_selection.py
@@ -1,4 +1,4 @@
-"""Choose an engine for a prompt, asking the sidecars beside the best ones what they know."""
+"""Select an engine for a prompt, with the current load from the sidecars of the best ones."""
 
 from typing import Protocol
 
@@ -9,11 +9,11 @@
     tolerated_tokens,
 )
 
-ASKS = 3
-"""Sidecars asked for one prompt at most; each takes some 3 ms."""
-ASKED_TOKENS = 1000
-"""With fewer tokens to read a prompt goes by what the routers told each other last: it delays
-others by less than asking costs."""
+MAX_ASKS = 3
+"""Maximum of sidecars asked per prompt; each call takes about 3 ms."""
+MIN_ASKED_TOKENS = 1000
+"""A prompt with fewer uncached tokens is placed by the last reports of the routers: it delays
+others by less than a call costs."""
 ANY_TOKENS = 1 << 40
 
 
@@ -45,17 +45,17 @@
 async def select_engine(
     context: PlacementContext, policy: PlacementPolicy, admission: Admission
 ) -> Backend:
-    """Return the lane for a prompt.
+    """Return the backend for a prompt.
 
-    What a sidecar says changes its lane, so that the policy decides anew with the truth about
-    the engines that it had preferred.
+    A sidecar's reply updates its backend, so that the policy decides again with the current load
+    of the engines that it preferred.
     """
-    for asks_left in reversed(range(ASKS)):
+    for asks_left in reversed(range(MAX_ASKS)):
         backend = policy(context)
-        unread = backend.uncached_tokens(context.request, context.now_unix_s)
-        if unread < ASKED_TOKENS:
+        uncached = backend.uncached_tokens(context.request, context.now_unix_s)
+        if uncached < MIN_ASKED_TOKENS:
             break
         most_tokens = tolerated_tokens(context, backend) if asks_left else ANY_TOKENS
-        if await admission.admit(backend, unread, most_tokens):
+        if await admission.admit(backend, uncached, most_tokens):
             break
     return backend
--- a/packages/fleet/src/endivesaddle/fleet/routing/limit_shares.py
+++ b/packages/fleet/src/endivesaddle/fleet/routing/limit_shares.py
@@ -1,8 +1,8 @@
-"""This router's share of the limit that a server named, which is for all routers together.
+"""This router's share of the rate limit that a server advertises to all routers together.
 
-Load pattern: a server in need takes fewer requests a second than there are routers, and each
-router hears of it within a second.  No router asks another before it sends, so that the limit also
-holds while they are cut off from each other and from the store.
+Load pattern: an overloaded server accepts fewer requests per second than there are routers, and
+each router learns of it within a second.  Routers don't coordinate before they send, so that the
+limit also holds while they can't reach each other or the store.
 """
 
 import math
@@ -15,13 +15,13 @@
 from endivesaddle.fleet.routing.rendezvous import weight
 
 WINDOW_S = 4.0
-"""A limit is shared out over so long: within a second many would be less than one request."""
+"""A limit is divided over this window: per second, many shares would be less than one request."""
 
 
 class LimitContext(NamedTuple):
-    """What a policy decides on: a server's limit, and how many routers share it.
+    """The input of a policy: a server's limit and the number of routers that share it.
 
-    ``rank`` is this router's place among them, 0 for the first; all agree on their order for a
+    ``rank`` is this router's position among them, from 0; all routers agree on the order for a
     server.
     """
 
@@ -31,14 +31,14 @@
 
 
 LimitPolicy = Callable[[LimitContext], float]
-"""Returns the seconds between two requests of this router, infinite for none at all."""
+"""Returns the seconds between two requests of this router, infinite if it may send none."""
 
 limit_policies: Registry[LimitPolicy] = Registry('limit policy')
 
 
 @limit_policies.add('few_routers')
 def few_routers(context: LimitContext) -> float:
-    """Share out whole requests: where routers are more, the first of the order send one each."""
+    """Divide whole requests; with more routers than requests, the first in order get one each."""
     window_s = max(WINDOW_S, 1 / context.per_s)
     most = max(1, int(context.per_s * window_s))
     each, more = divmod(most, context.routers)
@@ -48,19 +48,19 @@
 
 @limit_policies.add('equal_parts')
 def equal_parts(context: LimitContext) -> float:
-    """Let each router send its part of the limit, however seldom that is."""
+    """Give each router an equal share of the limit, however small."""
     return context.routers / context.per_s
 
 
 class LimitShares:
-    """What this router may send to servers that named a limit.
+    """Limits on what this router sends to servers that advertise a limit.
 
     ``routers`` are the addresses of all routers, with its ``own``; ``routers_known`` tells whether
     it has had time to learn of the others.
     """
 
     def __init__(self, policy: str, advertised: AdvertisedLimits, own: str) -> None:
-        """Decide by a registered policy for the router ``own``."""
+        """Use a registered policy for the router ``own``."""
         self.own = own
         self.routers: Collection[str] = (own,)
         self.routers_known = False
@@ -72,44 +72,46 @@
         self._ranked: tuple[str, Collection[str]] = ('', ())
 
     def allows(self, backend: Backend, now_unix_s: float) -> bool:
-        """Tell whether a server may be sent a request of this router now."""
+        """Return whether this router may send a request to a server now."""
         return self.next_send_unix_s(backend, now_unix_s) <= now_unix_s
 
     def record_send(self, backend: Backend, now_unix_s: float) -> None:
-        """Count a request that goes there now."""
-        life = backend.server.incarnation
-        if self._advertised and self._advertised.per_s(life, now_unix_s):
-            self._sent_unix_s[life] = now_unix_s
+        """Record that a request is sent to a server now."""
+        incarnation = backend.server.incarnation
+        if self._advertised and self._advertised.per_s(incarnation, now_unix_s):
+            self._sent_unix_s[incarnation] = now_unix_s
             if len(self._sent_unix_s) > MOST_LIVES:
                 del self._sent_unix_s[next(iter(self._sent_unix_s))]
 
     def next_send_unix_s(self, backend: Backend, now_unix_s: float) -> float:
-        """Return when a server may be sent the next request of this router, 0 for at any time.
+        """Return when this router may send the next request to a server, 0 for at any time.
 
-        A router without a share names the time after which the server takes the next request of
-        any router: callers that come back then may meet one that has a share.
+        A router without a share returns when the server accepts the next request of any router:
+        callers that retry then may reach a router with a share.
         """
-        life = backend.server.incarnation
-        per_s = self._advertised.per_s(life, now_unix_s) if self._advertised else 0.0
+        incarnation = backend.server.incarnation
+        per_s = self._advertised.per_s(incarnation, now_unix_s) if self._advertised else 0.0
         if not per_s:
             return 0.0
-        pause_s = self._pause_s(life, per_s)
+        pause_s = self._pause_s(incarnation, per_s)
         if math.isinf(pause_s):
             return now_unix_s + 1 / per_s
-        return self._sent_unix_s.get(life, 0.0) + pause_s
+        return self._sent_unix_s.get(incarnation, 0.0) + pause_s
 
-    def _pause_s(self, life: str, per_s: float) -> float:
+    def _pause_s(self, incarnation: str, per_s: float) -> float:
         if not self.routers_known:
-            # The others are unknown: as many as there are may have started with this one.
+            # The other routers are unknown, and any number of them may have started with this one.
             return max(WINDOW_S, 1 / per_s)
-        return self._policy(LimitContext(per_s, len(self.routers), self._rank(life)))
+        return self._policy(LimitContext(per_s, len(self.routers), self._rank(incarnation)))
 
-    def _rank(self, life: str) -> int:
-        """Return this router's place in the order of all for a server, kept while they stay."""
+    def _rank(self, incarnation: str) -> int:
+        """Return this router's rank for a server, cached while the routers stay the same."""
         if self._ranked != (self.own, self.routers):
             self._ranked = (self.own, self.routers)
             self._ranks = {}
-        if life not in self._ranks:
-            own = weight(life, self.own)
-            self._ranks[life] = sum(weight(life, router) < own for router in self.routers)
-        return self._ranks[life]
+        if incarnation not in self._ranks:
+            own = weight(incarnation, self.own)
+            self._ranks[incarnation] = sum(
+                weight(incarnation, router) < own for router in self.routers
+            )
+        return self._ranks[incarnation]
--- a/packages/fleet/src/endivesaddle/fleet/routing/refusals.py
+++ b/packages/fleet/src/endivesaddle/fleet/routing/refusals.py
@@ -9,7 +9,7 @@
 TOO_MANY = 429
 LEAST_RETRY_AFTER_S = 1.0
 MOST_RETRY_AFTER_S = 30.0
-SPREAD = 0.5
+JITTER = 0.5
 """Share by which advice varies, so that those refused together don't return together."""
 
 
@@ -49,4 +49,4 @@
 
 def _advice(wait_s: float, random: Random) -> float:
     bounded_s = min(MOST_RETRY_AFTER_S, max(LEAST_RETRY_AFTER_S, wait_s))
-    return round(bounded_s * (1 + SPREAD * random.random()), 1)
+    return round(bounded_s * (1 + JITTER * random.random()), 1)
--- a/packages/fleet/src/endivesaddle/fleet/routing/send_limits.py
+++ b/packages/fleet/src/endivesaddle/fleet/routing/send_limits.py
@@ -1,4 +1,4 @@
-"""What one router may send to a server now, by all bounds that hold for the routers together."""
+"""All limits on what one router may send to a server, out of limits shared by the routers."""
 
 from collections.abc import Collection
 
@@ -8,17 +8,18 @@
 
 
 class SendLimits:
-    """The bound of cold servers, and the limits that servers named."""
+    """The limits of cold servers and the limits that servers advertise."""
 
     def __init__(self, cold: ColdStartLimits, limits: LimitShares) -> None:
-        """Keep both."""
+        """Combine both limits."""
         self.cold = cold
         self.limits = limits
 
     def set_routers(self, own: str, others: Collection[str], routers_known: bool) -> None:
-        """Take in which routers share the bounds, and whether there was time to hear of them.
+        """Set the routers that share the limits, and whether there was time to learn of them.
 
-        By address: all agree on these also while some still know a router's earlier life.
+        Routers are identified by address: all agree on these even while some still know a router's
+        previous incarnation.
         """
         routers = (own, *others)
         for shared in (self.cold, self.limits):
@@ -27,15 +28,15 @@
             shared.routers_known = routers_known
 
     def allows(self, backend: Backend, now_unix_s: float) -> bool:
-        """Tell whether a server may be sent a request of this router now; else count that."""
-        for bound in (self.limits, self.cold):
-            if not bound.allows(backend, now_unix_s):
-                bound.throttled_count += 1
+        """Return whether this router may send a request to a server now; count if it may not."""
+        for limit in (self.limits, self.cold):
+            if not limit.allows(backend, now_unix_s):
+                limit.throttled_count += 1
                 return False
         return True
 
     def try_acquire(self, backend: Backend, now_unix_s: float) -> bool:
-        """Count a request for a server, or tell False where it bears no more."""
+        """Count a request for a server; False if the server is at a limit."""
         if not self.limits.allows(backend, now_unix_s) or not self.cold.try_acquire(
             backend, now_unix_s
         ):
@@ -43,14 +44,14 @@
         self.limits.record_send(backend, now_unix_s)
         return True
 
-    def may_still_send(self, backend: Backend, entered_unix_s: float, now_unix_s: float) -> bool:
-        """Tell right before it is sent whether a request that was let in may still go."""
-        if not self.cold.may_still_send(backend, entered_unix_s, now_unix_s):
+    def may_still_send(self, backend: Backend, acquired_unix_s: float, now_unix_s: float) -> bool:
+        """Return whether a request that was counted earlier may be sent now."""
+        if not self.cold.may_still_send(backend, acquired_unix_s, now_unix_s):
             return False
         self.limits.record_send(backend, now_unix_s)
         return True
 
     def next_send_unix_s(self, backend: Backend, now_unix_s: float) -> float:
-        """Return when a server may be sent the next request of this router."""
+        """Return when this router may send the next request to a server."""
         cold_unix_s = self.cold.next_send_unix_s(backend, now_unix_s)
         return max(cold_unix_s, self.limits.next_send_unix_s(backend, now_unix_s))
--- a/packages/fleet/src/endivesaddle/fleet/routing/server_signals.py
+++ b/packages/fleet/src/endivesaddle/fleet/routing/server_signals.py
@@ -83,8 +83,8 @@
 
 
 def apply_signals(
-    texts: Mapping[str, str], heading: SignalHeader, backend: Backend, routing_state: RoutingState
+    texts: Mapping[str, str], header: SignalHeader, backend: Backend, routing_state: RoutingState
 ) -> None:
     """Note all signals of an answer; ``texts`` has those that it gives, by name."""
     for name, signal in _ALL:
-        signal(heading._replace(text=texts.get(name, '')), backend, routing_state)
+        signal(header._replace(text=texts.get(name, '')), backend, routing_state)
