--- a/packages/fleet/src/endivesaddle/fleet/routes/account_pool.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/account_pool.py
@@ -1,4 +1,4 @@
-"""What a router holds of each account, and from which lives of keepers it came."""
+"""A router's tokens of each account, and the allocators' incarnations they came from."""
 
 from collections.abc import Iterable
 from typing import NamedTuple
@@ -10,7 +10,7 @@
 
 
 class Reported(NamedTuple):
-    """What a keeper was told of an account, in tokens."""
+    """What an allocator was last told of an account, in tokens."""
 
     returned: int
     spent: int
@@ -21,89 +21,89 @@
 
 
 class Allocation:
-    """What was drawn of one account from one life of a keeper, in tokens."""
+    """Tokens of one account that were drawn from one incarnation of an allocator."""
 
     def __init__(self, address: str) -> None:
-        """Start with nothing from the keeper at ``address``."""
+        """Initialize with nothing drawn from the allocator at ``address``."""
         self.address = address
         self.drawn = 0
         self.returned = 0
         self.reported = NOTHING_REPORTED
 
     @property
-    def out(self) -> int:
+    def outstanding(self) -> int:
         """Tokens that were drawn and not given back."""
         return self.drawn - self.returned
 
 
 class AccountPool:
-    """What this router holds of one account, and of which keepers' lives."""
+    """This router's tokens of one account, with an allocation from each allocator incarnation."""
 
     def __init__(self, now_unix_s: float) -> None:
-        """Start with nothing."""
+        """Initialize with no tokens."""
         self.balance = TokenBalance(now_unix_s)
-        self.drawn: dict[str, Allocation] = {}
+        self.allocations: dict[str, Allocation] = {}
         self.waiting = 0
         self.lock = anyio.Lock()
 
-    def draw_from(self, lifetime: str, address: str) -> Allocation:
-        """Return what was drawn from one life of a keeper."""
-        return self.drawn.setdefault(lifetime, Allocation(address))
+    def allocation(self, incarnation: str, address: str) -> Allocation:
+        """Return the allocation from one incarnation of an allocator, a new one if needed."""
+        return self.allocations.setdefault(incarnation, Allocation(address))
 
-    def spent_of(self, lifetime: str) -> int:
-        """Return what was spent of one keeper's tokens: the oldest are spent first.
+    def spent_of(self, incarnation: str) -> int:
+        """Return the tokens spent from one allocation; the oldest allocations are spent first.
 
-        It is for the keepers' reports alone: what routers hold is bounded by what was drawn and
-        given back, whichever of it is said to be spent.
+        This is only for the reports to allocators: the tokens that a router holds are bounded by
+        what it drew and gave back, whichever allocation is reported as spent.
         """
         left = self.balance.spent
-        for name, drawn in self.drawn.items():
-            spent = min(left, drawn.out)
-            if name == lifetime:
+        for name, allocation in self.allocations.items():
+            spent = min(left, allocation.outstanding)
+            if name == incarnation:
                 return spent
             left -= spent
         return 0
 
-    def out_of(self, lifetime: str) -> int:
-        """Return what was drawn from one life of a keeper and not given back."""
-        return self.drawn[lifetime].out if lifetime in self.drawn else 0
+    def outstanding_of(self, incarnation: str) -> int:
+        """Return the tokens drawn from one incarnation of an allocator and not given back."""
+        return self.allocations[incarnation].outstanding if incarnation in self.allocations else 0
 
-    def give_back(self, tokens: int, lives: Iterable[str]) -> None:
-        """Set tokens aside to be given back to keepers that are there."""
-        for lifetime in lives:
-            drawn = self.drawn[lifetime]
-            back = min(tokens, drawn.out - self.spent_of(lifetime))
-            drawn.returned += back
+    def give_back(self, tokens: int, incarnations: Iterable[str]) -> None:
+        """Mark tokens to be given back to allocators that are still running."""
+        for incarnation in incarnations:
+            allocation = self.allocations[incarnation]
+            back = min(tokens, allocation.outstanding - self.spent_of(incarnation))
+            allocation.returned += back
             self.balance.granted -= back
             tokens -= back
 
-    def tell(self, lifetime: str, total: int) -> Reported:
-        """Return what one keeper should know now."""
-        drawn = self.drawn[lifetime]
-        return Reported(drawn.returned, self.spent_of(lifetime), total)
+    def current(self, incarnation: str, total: int) -> Reported:
+        """Return what one incarnation of an allocator should be told now."""
+        allocation = self.allocations[incarnation]
+        return Reported(allocation.returned, self.spent_of(incarnation), total)
 
-    def word(self, name: str, lifetime: str, total: int) -> DrawWord:
-        """Return the word to one life of a keeper, which may be met for the first time."""
-        if lifetime not in self.drawn:
+    def report(self, name: str, incarnation: str, total: int) -> DrawWord:
+        """Return the report to one incarnation of an allocator, which may be a new one."""
+        if incarnation not in self.allocations:
             return DrawWord(account=name, total=total)
-        reported = self.tell(lifetime, total)
+        current = self.current(incarnation, total)
         return DrawWord(
             account=name,
-            seen=self.drawn[lifetime].drawn,
-            returned=reported.returned,
-            spent=reported.spent,
+            seen=self.allocations[incarnation].drawn,
+            returned=current.returned,
+            spent=current.spent,
             total=total,
         )
 
-    def news(self, lifetime: str, total: int) -> bool:
-        """Tell whether one life of a keeper does not know all yet."""
-        drawn = self.drawn.get(lifetime)
-        return drawn is None or drawn.reported != self.tell(lifetime, total)
+    def has_news(self, incarnation: str, total: int) -> bool:
+        """Tell whether one incarnation of an allocator has not been told the current state."""
+        allocation = self.allocations.get(incarnation)
+        return allocation is None or allocation.reported != self.current(incarnation, total)
 
-    def take_in(self, lifetime: str, address: str, drawn_tokens: int) -> Allocation:
-        """Add what was drawn: the counter only grows, so that a late reply adds nothing twice."""
-        drawn = self.draw_from(lifetime, address)
-        fresh = max(0, drawn_tokens - drawn.drawn)
-        drawn.drawn += fresh
+    def add_drawn(self, incarnation: str, address: str, drawn_tokens: int) -> Allocation:
+        """Add drawn tokens; the counter only grows, so that a late reply adds nothing twice."""
+        allocation = self.allocation(incarnation, address)
+        fresh = max(0, drawn_tokens - allocation.drawn)
+        allocation.drawn += fresh
         self.balance.granted += fresh
-        return drawn
+        return allocation
--- a/packages/fleet/src/endivesaddle/fleet/routes/allocator_choice.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/allocator_choice.py
@@ -1,6 +1,7 @@
-"""Which instance keeps the grants of a group of accounts: the same for all routers.
+"""Choose the instance that owns the grants of a group of accounts, the same for all routers.
 
-Sidecars come first, by highest random weight; routers keep grants where no sidecar does.
+Sidecars come first, in the order of rendezvous hashing (highest random weight).  A router owns the
+grants if there is no usable sidecar.
 """
 
 import heapq
@@ -13,14 +14,14 @@
 from endivesaddle.fleet.routes.address_backoff import AddressBackoff
 
 AVOID_S = 2.0
-"""A keeper that did not answer is passed over for so long; one that stops, for longer."""
+"""An allocator that did not answer is avoided for this long, one that is stopping for longer."""
 LEAVING_S = 10.0
-TRIED = 3
-"""Keepers that a request may ask, one after the other."""
+MAX_TRIED = 3
+"""Number of allocators that a request may ask, one after the other."""
 
 
 class Instances(Protocol):
-    """The instances that are known, once their list was ``loaded``."""
+    """The other instances; ``loaded`` once their list has been read from the store."""
 
     loaded: bool
 
@@ -34,50 +35,50 @@
 
 
 class AllocatorChoice:
-    """The keepers as one router sees them."""
+    """The allocators as one router sees them."""
 
     def __init__(self, instances: Instances, own_address: str, clock: Clock) -> None:
-        """Choose among ``instances``, the own one last."""
+        """Choose among ``instances``; this router itself is the last resort."""
         self._instances = instances
         self._own_address = own_address
-        self._avoided = AddressBackoff(clock, AVOID_S)
-        self._ranked_of: tuple[tuple[str, ...], tuple[str, ...]] = ((), ())
+        self._backoff = AddressBackoff(clock, AVOID_S)
+        self._ranked_from: tuple[tuple[str, ...], tuple[str, ...]] = ((), ())
         self._ranked: dict[int, list[str]] = {}
 
     @property
     def known(self) -> bool:
-        """Whether the instances were looked for.
+        """Whether the list of instances has been loaded.
 
-        Before, each router would take itself for the keeper of all accounts, and hold an eighth
-        of what is left of each for nobody.
+        Before that, each router would consider itself the allocator of all accounts, and hold an
+        eighth of the rest of each total without need.
         """
         return self._instances.loaded
 
     def ranked(self, group: int) -> list[str]:
-        """Return the addresses to ask for a group, the keeper first."""
+        """Return the addresses to ask for a group, the owner first."""
         sidecars = tuple(one for one in self._instances.sidecars if self.usable(one))
         routers: tuple[str, ...] = (self._own_address,)
         if not sidecars:
             others = self._instances.others.values()
             routers = (*(one for one in others if self.usable(one)), self._own_address)
-        if (sidecars, routers) != self._ranked_of:
-            self._ranked_of = (sidecars, routers)
+        if (sidecars, routers) != self._ranked_from:
+            self._ranked_from = (sidecars, routers)
             self._ranked.clear()
         if group not in self._ranked:
             self._ranked[group] = _first(group, sidecars) + _first(group, routers)
-        return self._ranked[group][:TRIED]
+        return self._ranked[group][:MAX_TRIED]
 
     def avoid(self, address: str, for_s: float = AVOID_S) -> None:
-        """Pass an instance over for a while."""
-        self._avoided.record_failure(address, for_s)
+        """Avoid an instance for ``for_s`` seconds."""
+        self._backoff.record_failure(address, for_s)
 
     def usable(self, address: str) -> bool:
-        """Tell whether an instance is not passed over."""
-        return self._avoided.usable(address)
+        """Tell whether an instance is not being avoided."""
+        return self._backoff.usable(address)
 
 
 def _first(group: int, addresses: Collection[str]) -> list[str]:
-    return heapq.nlargest(TRIED - 1, addresses, key=lambda address: _weight(group, address))
+    return heapq.nlargest(MAX_TRIED - 1, addresses, key=lambda address: _weight(group, address))
 
 
 def _weight(group: int, address: str) -> int:
--- a/packages/fleet/src/endivesaddle/fleet/routes/claim_collector.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/claim_collector.py
@@ -1,9 +1,10 @@
-"""Ask routers what they hold of lives of this keeper that ended.
+"""Ask routers what they hold of earlier incarnations of this allocator.
 
-Load pattern: a keeper is killed and is back within a second, and routers are killed soon after.
-What the life before had given to nobody is free once each router on record has told what it holds;
-one that is killed before it told keeps all of that out of reach.  Routers call at their own time,
-when they are many only after seconds, so that the next life asks them as soon as it is there.
+Load pattern: an allocator is killed and is back within a second, and routers are killed soon
+after.  The tokens that the earlier incarnation had not handed out become free once each router on
+record has reported what it holds; if one is killed before it reports, they stay out of reach.
+Routers call an allocator at their own pace, with many routers only every few seconds.  The next
+incarnation therefore asks them as soon as it starts.
 """
 
 from collections import defaultdict
@@ -21,33 +22,34 @@
 from endivesaddle.wire import rpcs
 from endivesaddle.wire.routers_pb2 import HeldRequest
 
-ASK_S = 0.3
-"""After the first round, while a router has not told yet; doubled after each.
+FIRST_PAUSE_S = 0.3
+"""Pause after the first round, if a router has not answered; doubled after each round.
 
-Where all instances were killed nobody is left to tell, and all would go on asking."""
-ASKED_S = 20.0
-"""Routers are asked for so long: one that has not answered by then is gone, or calls by itself."""
-CALL_S = 0.5
-CALLS = 32
-"""Routers that are asked at once."""
+When all instances were killed, no router is left to answer, and all allocators would keep asking
+at this rate."""
+ASKING_S = 20.0
+"""Routers are asked for this long; one that has not answered by then is gone or calls by itself."""
+TIMEOUT_S = 0.5
+MAX_CALLS = 32
+"""Routers that are asked at the same time."""
 
 
 class ClaimCollector:
-    """One keeper's questions to routers, in the first seconds of its life."""
+    """Asks routers, in the first seconds after an allocator has started, for their claims."""
 
-    def __init__(self, life: AllocatorContext, groups: Sequence[GrantGroup]) -> None:
-        """Ask for ``life``, and hand the answers to ``groups``."""
-        self._life = life
+    def __init__(self, context: AllocatorContext, groups: Sequence[GrantGroup]) -> None:
+        """Ask on behalf of ``context``, and pass the claims to ``groups``."""
+        self._context = context
         self._groups = groups
         self._unclaimed: dict[str, set[str]] = defaultdict(set)
-        self._calls = anyio.CapacityLimiter(CALLS)
+        self._calls = anyio.CapacityLimiter(MAX_CALLS)
 
     async def run(self) -> None:
-        """Ask until all routers on record have told, or have had their time."""
-        end_unix_s = self._life.clock.now_s() + ASKED_S
-        pause_s = ASK_S
+        """Ask until all routers on record have answered, or ``ASKING_S`` have passed."""
+        end_unix_s = self._context.clock.now_s() + ASKING_S
+        pause_s = FIRST_PAUSE_S
         read = False
-        while self._life.clock.now_s() < end_unix_s:
+        while self._context.clock.now_s() < end_unix_s:
             try:
                 if not read:
                     await self._read()
@@ -56,17 +58,17 @@
                     return
                 await self._ask_all()
             except (FleetError, ValueError) as error:
-                # What is in the store may be unreadable: no reason to end with it.
+                # An unreadable value in the store must not end the allocator's tasks.
                 events.HELD_UNASKED.log(reason=str(error))
             await anyio.sleep(pause_s)
             pause_s *= 2
 
     async def _read(self) -> None:
-        """Learn which routers ended lives may have given tokens to; a copy may be seconds old."""
-        life = self._life
-        for stored in await life.store.list_stale(PREFIX, life.clock.now_s() + CALL_S):
+        """Read which routers may hold tokens of ended incarnations; may be seconds old."""
+        context = self._context
+        for stored in await context.store.list_stale(PREFIX, context.clock.now_s() + TIMEOUT_S):
             records = decode(stored.value or b'')
-            for name, ended in records.ended_at(life.address, life.lifetime).items():
+            for name, ended in records.ended_at(context.address, context.incarnation).items():
                 for router in ended.routers:
                     self._unclaimed[router].add(name)
 
@@ -77,31 +79,33 @@
                 calls.start_soon(self._ask, router, addresses[router])
 
     async def _addresses(self) -> dict[str, str]:
-        """Return where routers are reached, by lifetime."""
+        """Return the routers' addresses by incarnation."""
         prefix = f'{INSTANCES}{ROUTER}/'
-        found = await self._life.store.list_stale(prefix, self._life.clock.now_s() + CALL_S)
+        found = await self._context.store.list_stale(
+            prefix, self._context.clock.now_s() + TIMEOUT_S
+        )
         try:
             routers = [msgspec.json.decode(stored.value or b'', type=Instance) for stored in found]
         except msgspec.DecodeError as error:
-            raise ValueError(f'not entries of routers: {error}') from error
+            raise ValueError(f'malformed router entries: {error}') from error
         return {router.lifetime: router.address for router in routers}
 
     async def _ask(self, router: str, address: str) -> None:
-        peers = self._life.peers
+        peers = self._context.peers
         if peers is None:
             return
         ended = sorted(self._unclaimed[router])
         async with self._calls:
-            deadline_unix_s = self._life.clock.now_s() + CALL_S
+            deadline_unix_s = self._context.clock.now_s() + TIMEOUT_S
             try:
                 reply = await peers.call(
                     address, rpcs.HELD, HeldRequest(ended=ended), deadline_unix_s
                 )
             except (FleetError, TimeoutError):
-                # Asked again in the next round.
+                # The next round asks again.
                 return
         if reply.lifetime != router:
-            # Another life is at its address: the one on record can't tell any more.
+            # Another incarnation runs at the address: the one on record can't answer any more.
             del self._unclaimed[router]
             return
         del self._unclaimed[router]
--- a/packages/fleet/src/endivesaddle/fleet/routes/grant_group.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/grant_group.py
@@ -1,7 +1,7 @@
-"""Write the grants of a group of accounts: one key of the store, one task.
+"""Write the grants of a group of accounts, which are stored under one key, in one task.
 
-The records of several accounts lie under one key: one write brings all of a
-keeper's grants there up to date, so that writes don't grow with the accounts.
+One write brings all of an allocator's grants under the key up to date, so that the number of
+writes doesn't grow with the number of accounts.
 """
 
 import hashlib
@@ -30,26 +30,27 @@
 
 PREFIX = 'endivesaddle/grants/'
 GROUPS = 4
-"""Groups over which the accounts are spread; the same in all instances, for good.
-
-Each is kept by one instance, so that writers don't lose to each other: where all of 22 routers
-wrote, 320 store calls a second were made for 100 requests a second, most of them in vain."""
-TICK_S = 0.5
-"""Between looks at all grants; with a headroom of 9 s a grant is never late by a tick."""
-FAILED_TICK_S = 2.0
-"""Between tries while the store does not answer; each is a call that it counts."""
-CALL_S = 0.6
-"""A store call may take so long; slower ones count as lost and are read back."""
-TRIES = 6
-"""Writes of one attempt that may lose to others."""
-READ_AGAIN_S = 0.5
-"""The record is not read again for the last tokens more often than this."""
-AWAY_S = 0.25
-"""After a call that failed nobody waits for another one for so long."""
+"""Number of groups that accounts are spread over; it must never change, nor differ by instance.
+
+Each group has one allocator, so that writers don't conflict: when all of 22 routers wrote, they
+made 320 store calls per second for 100 requests per second, most of them in vain."""
+CHECK_INTERVAL_S = 0.5
+"""Time between checks of all grants; short enough for a headroom of 9 s."""
+RETRY_INTERVAL_S = 2.0
+"""Time between tries while the store does not answer; the store counts each call."""
+CALL_TIMEOUT_S = 0.6
+"""Time limit of a store call; a slower one counts as lost, and the record is read again."""
+MAX_WRITES = 6
+"""Writes in one attempt, all but the last of which may lose to other writers."""
+REREAD_INTERVAL_S = 0.5
+"""The record is not read again more often than this to find the last tokens of a total."""
+UNAVAILABLE_S = 0.25
+"""After a failed call, no request waits for another one for this long."""
 
 
 Claims = dict[str, dict[str, Mapping[str, int]]]
-"""What routers hold of ended lives: by the keeper's life, by the router's life, by account."""
+"""Tokens of ended allocators that routers hold: by the allocator's incarnation, by the router's
+incarnation, by account."""
 
 
 def group_of(account: str) -> int:
@@ -59,12 +60,12 @@
 
 
 class AllocatorContext(NamedTuple):
-    """One life of a keeper: its name, its address, its store, its clock, and its calls to routers.
+    """One incarnation of an allocator: its id, address, store, clock, and its calls to routers.
 
-    Without ``peers`` it waits until routers call.
+    Without ``peers`` it doesn't call routers and waits for them to call.
     """
 
-    lifetime: str
+    incarnation: str
     address: str
     store: ForwardStore
     clock: Clock
@@ -72,100 +73,103 @@
 
 
 class GrantGroup:
-    """A keeper's grants of one group; ``run`` is the only one that writes them."""
+    """An allocator's grants of one group of accounts; only the task of ``run`` writes them."""
 
-    def __init__(self, number: int, life: AllocatorContext) -> None:
-        """Start unread and without accounts."""
+    def __init__(self, number: int, context: AllocatorContext) -> None:
+        """Initialize without accounts; the record is not read yet."""
         self.grants: dict[str, Grant] = {}
         self.routers: set[str] = set()
-        self.named: frozenset[str] = frozenset()
+        self.recorded_routers: frozenset[str] = frozenset()
         self.claims: Claims = {}
-        self.wanted_here = False
+        self.owned = False
         self.failed = False
-        self._life = life
+        self._context = context
         self._key = f'{PREFIX}{number}'
         self._version = 0
         self._records = NO_RECORDS
         self._read = False
-        self._learnt_unix_s = 0.0
-        self._away_until_unix_s = 0.0
-        self._asked = anyio.Event()
-        self._ended = anyio.Event()
-        self._begun_count = 0
+        self._read_unix_s = 0.0
+        self._unavailable_until_unix_s = 0.0
+        self._write_requested = anyio.Event()
+        self._attempt_ended = anyio.Event()
+        self._started_count = 0
         self._ended_count = 0
 
     @property
-    def away(self) -> bool:
-        """Whether the store failed to answer just now."""
-        return self._life.clock.now_s() < self._away_until_unix_s
+    def unavailable(self) -> bool:
+        """Whether the store has just failed to answer."""
+        return self._context.clock.now_s() < self._unavailable_until_unix_s
 
     def grant(self, account: str) -> Grant:
-        """Return the grant of an account, new where it was not met."""
+        """Return the grant of an account, and create it if there is none."""
         grant = self.grants.get(account)
         if grant is None:
-            grant = Grant(self._life.lifetime, self._life.clock.now_s())
-            grant.learn(self._records.of(account))
+            grant = Grant(self._context.incarnation, self._context.clock.now_s())
+            grant.update(self._records.of(account))
             self.grants[account] = grant
-            self._asked.set()
+            self._write_requested.set()
         return grant
 
     async def run(self) -> None:
         """Adjust the grants until cancelled."""
         while True:
-            if self._asked.is_set() or self._worth_writing():
+            if self._write_requested.is_set() or self._worth_writing():
                 await self.write()
             with anyio.move_on_after(self._pause_s()):
-                await self._asked.wait()
+                await self._write_requested.wait()
 
     async def attempt(self) -> None:
-        """Wait for a whole attempt to write that begins after this moment."""
-        number = self._begun_count + 1
-        self._asked.set()
+        """Request a write, and wait for an attempt that starts after this call to end."""
+        number = self._started_count + 1
+        self._write_requested.set()
         while self._ended_count < number:
-            await self._ended.wait()
+            await self._attempt_ended.wait()
 
     async def write(self) -> None:
-        """Bring all grants to what is wanted; nothing changes while the store is away."""
-        self._asked = anyio.Event()
-        self._begun_count += 1
+        """Set all grants to the wanted amounts; nothing changes while the store is unavailable."""
+        self._write_requested = anyio.Event()
+        self._started_count += 1
         try:
-            await self._settle()
+            await self._write_if_needed()
         except StoreUnreachable as error:
             self._failed(str(error))
-            self._away_until_unix_s = self._life.clock.now_s() + AWAY_S
+            self._unavailable_until_unix_s = self._context.clock.now_s() + UNAVAILABLE_S
         except StoreWriteUnconfirmed as error:
-            # The fate of a lost write needs no care: the next one is made under the
-            # version that was read, so that only one of the two can ever take effect.
+            # The lost write needs no handling: the next one is made under the version that
+            # was read, so that only one of the two can ever take effect.
             self._failed(str(error))
         else:
             self.failed = False
-        self._ended_count = self._begun_count
-        self._ended.set()
-        self._ended = anyio.Event()
+        self._ended_count = self._started_count
+        self._attempt_ended.set()
+        self._attempt_ended = anyio.Event()
 
     def headroom(self, grant: Grant) -> int:
-        """Return what to hold beyond what is in use; nothing once another one is the keeper."""
-        return grant.headroom(self._life.clock.now_s()) if self.wanted_here else 0
+        """Return the headroom of a grant in tokens, 0 once another instance owns the group."""
+        return grant.headroom(self._context.clock.now_s()) if self.owned else 0
 
     def ended(self) -> dict[str, Incarnation]:
-        """Return the lives of this keeper before this one that still have grants on record.
+        """Return the earlier incarnations of this allocator that still have grants on record.
 
-        They have ended for certain: this one is at their address.
+        They have certainly ended, since this one runs at their address.
         """
-        return self._records.ended_at(self._life.address, self._life.lifetime)
+        return self._records.ended_at(self._context.address, self._context.incarnation)
 
-    def claim(self, life: str, router: str, out: Mapping[str, int]) -> None:
-        """Take in all that a router holds of an ended life, by account: its last word on that."""
-        claims = self.claims.setdefault(life, {})
+    def claim(self, allocator: str, router: str, held: Mapping[str, int]) -> None:
+        """Record all tokens, by account, that a router holds of an ended allocator.
+
+        Arguments are incarnations.  Only a router's first claim counts.
+        """
+        claims = self.claims.setdefault(allocator, {})
         if router not in claims:
-            claims[router] = out
-            self._asked.set()
+            claims[router] = held
+            self._write_requested.set()
 
     def _pause_s(self) -> float:
         if not self.grants:
-            # Nobody keeps an idle instance awake; a new account wakes it.
+            # Don't wake an idle instance; a new account ends the wait.
             return math.inf
-        return FAILED_TICK_S if self.failed else TICK_S
+        return RETRY_INTERVAL_S if self.failed else CHECK_INTERVAL_S
 
     def _failed(self, reason: str) -> None:
         self._read = False
@@ -175,7 +179,7 @@
     def _worth_writing(self) -> bool:
         if not self._read:
             return bool(self.grants)
-        if self.routers > self.named or self._claimed():
+        if self.routers > self.recorded_routers or self._claimed():
             return True
         return any(
             grant.worth_writing(self.headroom(grant)) or self._pending(name, grant)
@@ -183,50 +187,51 @@
         )
 
     def _pending(self, name: str, grant: Grant) -> bool:
-        """Tell whether a grant can grow for what waits, or whether it is on record and not used.
+        """Tell whether a grant can grow for waiting requests, or differs from the record.
 
-        The latter comes of a write whose answer was lost: until another write has taken its
-        place, a still older one could shrink it.
+        The latter happens when the answer to a write was lost: until another write has replaced
+        the record, a still earlier write could take effect and shrink the grant.
         """
         if grant.stored(self._records.of(name)) != grant.granted:
             return True
         wanted = grant.wanted(self.headroom(grant))
         if wanted < grant.used + grant.waiting:
-            # All that is left does not do: near the total each request wrote the record for a
-            # few tokens, ten times a second.
+            # The rest of the total does not cover the waiting requests. Without this limit, near
+            # the end each request wrote the record for a few tokens, ten times per second.
             return wanted > grant.granted + MIN_CHANGE_TOKENS
         return wanted > grant.granted and not grant.fits(grant.waiting)
 
     def _claimed(self) -> list[str]:
-        """Return the ended lives of which each router told that may hold something of them."""
+        """Return the ended incarnations for which all routers on record have made their claim."""
         return [
             name
-            for name, life in self.ended().items()
-            if self.claims.get(name, {}).keys() >= set(life.routers)
+            for name, incarnation in self.ended().items()
+            if self.claims.get(name, {}).keys() >= set(incarnation.routers)
         ]
 
     def _without_ended(self) -> Records:
-        """Return the records with ended lives' grants cut down to what routers hold of them.
+        """Return the records, with ended incarnations' grants reduced to what routers hold.
 
-        What an ended life had not given to anybody is free again. Without it a keeper that was
-        killed took a fifth of a total with it.
+        This frees the tokens that an ended incarnation had not handed out. Otherwise an allocator
+        that was killed stranded a fifth of a total.
         """
         records = self._records
         for name in self._claimed():
             left: Counter[str] = Counter()
-            for out in self.claims[name].values():
-                left.update(out)
+            for held in self.claims[name].values():
+                left.update(held)
             records = records.reduced(name, left)
             events.GRANT_RECLAIMED.log(key=self._key, keeper=name, held_tokens=dict(left))
         return records
 
-    async def _settle(self) -> None:
-        for _ in range(TRIES):
+    async def _write_if_needed(self) -> None:
+        for _ in range(MAX_WRITES):
             if not self._read:
-                await self._learn_anew()
+                await self._read_record()
             wanted = {name: one.wanted(self.headroom(one)) for name, one in self.grants.items()}
-            if self._lacking(wanted) and self._old():
-                # Others may have given back since: near the total that is all there is.
+            if self._lacking(wanted) and self._stale():
+                # Other allocators may have given back tokens since the record was read; near the
+                # end of the total, these are the only ones left.
                 self._read = False
             elif not self._worth_writing() or await self._swap(wanted):
                 return
@@ -237,59 +242,61 @@
             for name, grant in self.grants.items()
         )
 
-    def _old(self) -> bool:
-        return self._life.clock.now_s() - self._learnt_unix_s > READ_AGAIN_S
+    def _stale(self) -> bool:
+        return self._context.clock.now_s() - self._read_unix_s > REREAD_INTERVAL_S
 
-    async def _learn_anew(self) -> None:
-        deadline_unix_s = self._life.clock.now_s() + CALL_S
-        stored = await self._life.store.read(self._key, deadline_unix_s)
+    async def _read_record(self) -> None:
+        deadline_unix_s = self._context.clock.now_s() + CALL_TIMEOUT_S
+        stored = await self._context.store.read(self._key, deadline_unix_s)
         if isinstance(stored, Absent):
-            self._learn(0, None)
+            self._apply(0, None)
         else:
-            self._learn(stored.version, stored.value)
+            self._apply(stored.version, stored.value)
 
-    def _learn(self, version: int, value: bytes | None) -> None:
+    def _apply(self, version: int, value: bytes | None) -> None:
         self._version = version
         self._records = decode(value) if value else NO_RECORDS
         self._read = True
-        self._learnt_unix_s = self._life.clock.now_s()
+        self._read_unix_s = self._context.clock.now_s()
         for name, grant in self.grants.items():
-            grant.learn(self._records.of(name))
+            grant.update(self._records.of(name))
 
     async def _swap(self, wanted: dict[str, int]) -> bool:
-        """Write the grants; False when another keeper was first.
+        """Write the grants; False if another allocator wrote first.
 
-        A grant that shrinks is given up before it is written, one that grows
-        is used after the answer: with the answer lost, this keeper believes
-        the less of both, until a later write has taken the record's place.
+        A grant that shrinks is reduced before the write, and one that grows is used only after
+        the answer.  If the answer is lost, this allocator thus assumes the smaller amount until a
+        later write has replaced the record.
         """
-        now_unix_s = self._life.clock.now_s()
+        now_unix_s = self._context.clock.now_s()
         reduced = self._without_ended()
         routers = frozenset(self.routers)
-        own = Incarnation(self._life.address, tuple(sorted(routers)))
-        records = Records(dict(reduced.accounts), {**reduced.lives, self._life.lifetime: own})
+        own = Incarnation(self._context.address, tuple(sorted(routers)))
+        records = Records(
+            dict(reduced.accounts), {**reduced.incarnations, self._context.incarnation: own}
+        )
         for name, tokens in wanted.items():
             grant = self.grants[name]
             records.accounts[name] = grant.entered(reduced.of(name), tokens, now_unix_s)
             grant.granted = min(grant.granted, tokens)
-        written = await self._life.store.swap(
-            self._key, encode(records), self._version, now_unix_s + CALL_S
+        written = await self._context.store.swap(
+            self._key, encode(records), self._version, now_unix_s + CALL_TIMEOUT_S
         )
         if isinstance(written, Conflict):
-            self._forestalled(written)
+            self._lost_to(written)
             return False
         self._version = written.version
         self._records = records
-        self.named = routers
+        self.recorded_routers = routers
         for name, tokens in wanted.items():
             self.grants[name].granted = tokens
-            self.grants[name].learn(records.of(name))
+            self.grants[name].update(records.of(name))
         events.GRANT.log(key=self._key, version=written.version, granted_tokens=wanted)
         return True
 
-    def _forestalled(self, conflict: Conflict) -> None:
+    def _lost_to(self, conflict: Conflict) -> None:
         events.GRANT_FORESTALLED.log(key=self._key, version=conflict.version)
         if conflict.value is None:
             self._read = False
         else:
-            self._learn(conflict.version, conflict.value)
+            self._apply(conflict.version, conflict.value)
--- a/packages/fleet/src/endivesaddle/fleet/routes/loop_lag.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/loop_lag.py
@@ -1,7 +1,7 @@
-"""How late this process gets to its work: the sign that its processor is taken.
+"""Measure the lag of this process's event loop, which shows that its processor is overloaded.
 
-A process that is late hears late, too: what it believes of others is older than it seems, and
-time limits that it sets pass before it reads answers that are there.
+A process that lags also reads messages late: what it knows of other instances is older than it
+seems, and its own time limits expire before it reads answers that have already arrived.
 """
 
 from collections import deque
@@ -12,48 +12,48 @@
 from endivesaddle.fleet.clock import Clock
 from endivesaddle.fleet.routes import store_events as events
 
-LOOK_S = 0.1
-"""Between looks; each is one wake-up of the process."""
-KEPT_S = 1.0
-"""The worst of so long is shown."""
-TOLD_S = 0.25
-"""So much lateness is logged: a keeper has no more time than that for its answer."""
+CHECK_S = 0.1
+"""Time between checks; each check is one wake-up of the process."""
+WINDOW_S = 1.0
+"""The worst lag within this time is shown."""
+LOGGED_S = 0.25
+"""A lag of this length is logged: it equals the time limit of a call to an allocator."""
 
 
-class _Look(NamedTuple):
-    """One look: when it was, and how late."""
+class _Check(NamedTuple):
+    """One check: its time, and how late it was."""
 
     at_unix_s: float
     late_s: float
 
 
 class LoopLag:
-    """Looks ten times a second how late it gets its turn."""
+    """Checks ten times per second how late the event loop runs a task."""
 
     def __init__(self, clock: Clock) -> None:
-        """Start in time."""
+        """Initialize without measurements."""
         self._clock = clock
-        self._looks: deque[_Look] = deque()
+        self._checks: deque[_Check] = deque()
 
     async def run(self) -> None:
-        """Look until cancelled; each look that is late by ``TOLD_S`` is logged."""
+        """Check until cancelled, and log each check that is late by ``LOGGED_S`` or more."""
         while True:
-            due_unix_s = self._clock.now_s() + LOOK_S
-            await anyio.sleep(LOOK_S)
-            self._look(self._clock.now_s() - due_unix_s)
+            due_unix_s = self._clock.now_s() + CHECK_S
+            await anyio.sleep(CHECK_S)
+            self._record(self._clock.now_s() - due_unix_s)
 
     def worst_s(self) -> float:
-        """Return the worst lateness of the last second, in seconds."""
-        self._forget()
-        return round(max((look.late_s for look in self._looks), default=0.0), 3)
-
-    def _look(self, late_s: float) -> None:
-        self._looks.append(_Look(self._clock.now_s(), late_s))
-        self._forget()
-        if late_s >= TOLD_S:
+        """Return the worst lag of the last second, in seconds."""
+        self._expire()
+        return round(max((check.late_s for check in self._checks), default=0.0), 3)
+
+    def _record(self, late_s: float) -> None:
+        self._checks.append(_Check(self._clock.now_s(), late_s))
+        self._expire()
+        if late_s >= LOGGED_S:
             events.LATE.log(late_s=round(late_s, 3))
 
-    def _forget(self) -> None:
-        oldest_unix_s = self._clock.now_s() - KEPT_S
-        while self._looks and self._looks[0].at_unix_s < oldest_unix_s:
-            self._looks.popleft()
+    def _expire(self) -> None:
+        oldest_unix_s = self._clock.now_s() - WINDOW_S
+        while self._checks and self._checks[0].at_unix_s < oldest_unix_s:
+            self._checks.popleft()
--- a/packages/fleet/src/endivesaddle/fleet/routes/prepaid_pools.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/prepaid_pools.py
@@ -1,7 +1,7 @@
-"""What one router may spend of prepaid totals: drawn from keepers, reserved, settled.
+"""One router's tokens of prepaid totals: drawn from allocators, reserved for requests, settled.
 
-A router holds what it uses within a moment and asks the account's keeper for the rest, so
-that a router that is killed takes little with it.
+A router holds only what it uses within ``SUPPLY_S`` and asks the account's allocator for more when
+needed, so that a router that is killed strands little.
 """
 
 from collections import defaultdict
@@ -34,34 +34,36 @@
     HeldRequest,
 )
 
-LOOK_S = 1.0
-"""Between looks at what is held; what was spent is on the way to the store within it."""
-LEAVING_LOOK_S = 0.25
-"""Between looks of a router that stops."""
-LOOKS_PER_S = 5.0
-"""Looks of all routers in a second: with many routers each looks less often."""
-NEAR_S = 0.5
-"""So many seconds of its use a router holds; asking for more takes a call to the keeper."""
+CHECK_S = 1.0
+"""Time between checks of the pools; spent tokens are reported to the allocators within it."""
+LEAVING_CHECK_S = 0.25
+"""Time between checks in a router that stops."""
+CHECKS_PER_S = 5.0
+"""Checks per second by all routers together: with many routers each checks less often."""
+SUPPLY_S = 0.5
+"""A router holds tokens for this many seconds of use; to get more it calls the allocator."""
 WAIT_S = 0.45
-"""A request waits so long for tokens: a slow store takes 0.35 s for a write."""
+"""A request waits this long for tokens: a write to a slow store takes 0.35 s."""
 CALL_S = 0.25
-"""A keeper answers within a few ms, or after 0.15 s that it waits for the store; while this
-process's calls take long, it has as much longer, up to ``WAIT_S``."""
-AGAIN_S = 1.0
-"""A caller whose request found no tokens is told to come back after this."""
+"""Time limit of a call.
 
-PROMISING = frozenset((DrawAnswer.READY, DrawAnswer.GROWING))
-KNOWING = frozenset((DrawAnswer.EXHAUSTED, DrawAnswer.HELD))
-"""Words of a keeper that reaches the store: the next one could not know better."""
+An allocator answers within a few ms, or after waiting 0.15 s for the store.  While calls of this
+process are slow, the limit grows accordingly, up to ``WAIT_S``."""
+RETRY_AFTER_S = 1.0
+"""Retry delay given to a caller whose request found no tokens."""
+
+CALL_AGAIN = frozenset((DrawAnswer.READY, DrawAnswer.GROWING))
+FINAL = frozenset((DrawAnswer.EXHAUSTED, DrawAnswer.HELD))
+"""Answers of an allocator that reaches the store: asking another one gives nothing better."""
 
 PAYMENT_REQUIRED = 402
 UNAVAILABLE = 503
 
 
 class PrepaidPoolsParts(NamedTuple):
-    """What a wallet works with; ``own`` is the keeper in the same process."""
+    """What the pools depend on; ``own`` is the allocator in the same process."""
 
-    lifetime: str
+    incarnation: str
     address: str
     routing_state: RoutingState
     choice: AllocatorChoice
@@ -71,38 +73,41 @@
 
 
 class PrepaidPools:
-    """All that one life of a router holds."""
+    """The token pools of one incarnation of a router, by account."""
 
     def __init__(self, parts: PrepaidPoolsParts) -> None:
-        """Start with nothing."""
+        """Initialize without pools."""
         self.routers = 1
         self.releasing = False
         self._parts = parts
         self._pools: dict[str, AccountPool] = {}
-        self._lives: dict[str, str] = {}
+        self._incarnations: dict[str, str] = {}
         self._ended: set[str] = set()
-        self._asked_of: dict[str, tuple[str, ...]] = {}
-        self._stops = anyio.Event()
+        self._claims_requested: dict[str, tuple[str, ...]] = {}
+        self._stopping = anyio.Event()
 
     def register(self, handlers: Handlers) -> None:
-        """Answer keepers whose life before has ended."""
-        handlers.answer(rpcs.HELD, self._tell_held)
+        """Register the handler for allocators that ask about their ended incarnations."""
+        handlers.answer(rpcs.HELD, self._report_held)
 
     async def run(self) -> None:
-        """Look at what is held until cancelled."""
+        """Check the pools until cancelled."""
         while True:
             if self._parts.choice.known:
-                await self.look()
+                await self.check()
             if self.releasing:
-                await anyio.sleep(LEAVING_LOOK_S)
+                await anyio.sleep(LEAVING_CHECK_S)
                 continue
-            with anyio.move_on_after(max(LOOK_S, self.routers / LOOKS_PER_S)):
-                await self._stops.wait()
+            with anyio.move_on_after(max(CHECK_S, self.routers / CHECKS_PER_S)):
+                await self._stopping.wait()
 
     async def reserve(
         self, account: RouteAccount, tokens: int, request_id: str = ''
     ) -> Reservation | Refusal:
-        """Set a worst case aside, drawing more if need be; ``request_id`` is for the log."""
+        """Reserve the worst case of a request, and draw tokens for it if needed.
+
+        ``request_id`` is only logged.
+        """
         if account.total_tokens is None or tokens <= 0:
             return Reservation(None, 0)
         pool = self._pool(account.name)
@@ -117,11 +122,11 @@
         if pool.balance.fits(tokens):
             pool.balance.reserve(tokens, self._parts.clock.now_s())
             return Reservation(pool.balance, tokens)
-        return self._short(account, tokens, request_id, state)
+        return self._refuse(account, tokens, request_id, state)
 
-    async def look(self) -> None:
-        """Tell the keepers what was spent, and give back what is not needed soon."""
-        for name in self._limited():
+    async def check(self) -> None:
+        """Report spent tokens to the allocators, and give back those not needed soon."""
+        for name in self._prepaid():
             self._give_back(self._pool(name))
         requests = self._requests()
         async with anyio.create_task_group() as group:
@@ -129,17 +134,20 @@
                 group.start_soon(self._ask, address, request)
 
     async def release(self) -> None:
-        """Give back what is not in use, at a graceful stop; ``run`` gives back what ends later."""
+        """Give back unused tokens at a graceful stop.
+
+        ``run`` gives back what requests that end later leave unused.
+        """
         self.releasing = True
-        self._stops.set()
-        await self.look()
+        self._stopping.set()
+        await self.check()
 
     def ready(self) -> bool:
-        """Tell whether the accounts are known."""
+        """Tell whether the declared accounts have been loaded."""
         return self._parts.routing_state.declarations is not None
 
     def dump(self) -> dict[str, dict[str, float]]:
-        """Return what is held for operators."""
+        """Return the pools by account, in tokens, for the operators' state dump."""
         return {
             name: {
                 'granted_tokens': pool.balance.granted,
@@ -149,11 +157,11 @@
             for name, pool in self._pools.items()
         }
 
-    async def _tell_held(self, asked: HeldRequest) -> HeldReply:
-        """Tell what is held of lives that ended; nothing more of theirs is taken in."""
-        self._ended.update(asked.ended)
-        claims = [self._claim(life) for life in asked.ended]
-        return HeldReply(lifetime=self._parts.lifetime, claims=claims)
+    async def _report_held(self, request: HeldRequest) -> HeldReply:
+        """Report what is held of ended incarnations, and ignore their replies from now on."""
+        self._ended.update(request.ended)
+        claims = [self._claim(incarnation) for incarnation in request.ended]
+        return HeldReply(lifetime=self._parts.incarnation, claims=claims)
 
     def _pool(self, name: str) -> AccountPool:
         pool = self._pools.get(name)
@@ -162,54 +170,57 @@
             self._pools[name] = pool
         return pool
 
-    def _limited(self) -> list[str]:
-        """Return the names of the accounts that have a total."""
+    def _prepaid(self) -> list[str]:
+        """Return the names of the accounts with a prepaid total."""
         declarations = self._parts.routing_state.declarations
         accounts = declarations.accounts.values() if declarations else ()
         return [one.name for one in accounts if one.total_tokens is not None]
 
-    def _near(self, pool: AccountPool) -> int:
+    def _needed_soon(self, pool: AccountPool) -> int:
         if self.releasing:
             return 0
-        return int(NEAR_S * pool.balance.rate_per_s(self._parts.clock.now_s()))
+        return int(SUPPLY_S * pool.balance.rate_per_s(self._parts.clock.now_s()))
 
     def _give_back(self, pool: AccountPool) -> None:
-        near = self._near(pool)
+        needed_soon = self._needed_soon(pool)
         available = pool.balance.available - pool.waiting
-        most = 0 if self.releasing else LOWER_ABOVE * near + MIN_CHANGE_TOKENS
+        most = 0 if self.releasing else LOWER_ABOVE * needed_soon + MIN_CHANGE_TOKENS
         if available > most:
-            present = set(self._lives.values())
-            pool.give_back(available - near, [life for life in pool.drawn if life in present])
+            present = set(self._incarnations.values())
+            pool.give_back(
+                available - needed_soon,
+                [incarnation for incarnation in pool.allocations if incarnation in present],
+            )
 
     def _requests(self) -> dict[str, DrawRequest]:
-        """Return what to tell each keeper: what changed, and which groups are kept there."""
+        """Return the request to each allocator: what changed, and the groups that it should own."""
         requests: dict[str, DrawRequest] = defaultdict(self._request)
         allocators = {number: self._first_allocator(number) for number in range(GROUPS)}
         for number, address in allocators.items():
             requests[address].groups.append(number)
-        for name in self._limited():
+        for name in self._prepaid():
             pool = self._pool(name)
             current = allocators[group_of(name)]
-            addresses = {drawn.address for drawn in pool.drawn.values()} | {current}
+            addresses = {one.address for one in pool.allocations.values()} | {current}
             for address in addresses:
-                if self._to_tell(name, pool, address):
-                    requests[address].words.append(self._word(name, pool, address))
+                if self._should_report(name, pool, address):
+                    requests[address].words.append(self._report(name, pool, address))
         for address, request in requests.items():
-            request.keeper = self._lives.get(address, '')
+            request.keeper = self._incarnations.get(address, '')
             request.claims.extend(self._claims(address))
         return requests
 
     def _claims(self, address: str) -> list[Claim]:
-        """Return what is held of the ended lives that a keeper asked about."""
-        return [self._claim(life) for life in self._asked_of.get(address, ())]
+        """Return what is held of the ended incarnations that an allocator asked about."""
+        return [self._claim(incarnation) for incarnation in self._claims_requested.get(address, ())]
 
-    def _claim(self, life: str) -> Claim:
-        out = {name: pool.out_of(life) for name, pool in self._pools.items()}
-        return Claim(keeper=life, out=out)
+    def _claim(self, incarnation: str) -> Claim:
+        out = {name: pool.outstanding_of(incarnation) for name, pool in self._pools.items()}
+        return Claim(keeper=incarnation, out=out)
 
-    def _to_tell(self, name: str, pool: AccountPool, address: str) -> bool:
+    def _should_report(self, name: str, pool: AccountPool, address: str) -> bool:
         usable = self._parts.choice.usable(address)
-        return usable and pool.news(self._lives.get(address, ''), self._total(name))
+        return usable and pool.has_news(self._incarnations.get(address, ''), self._total(name))
 
     def _first_allocator(self, group: int) -> str:
         return self._parts.choice.ranked(group)[0]
@@ -217,7 +228,7 @@
     def _request(self) -> DrawRequest:
         declarations = self._parts.routing_state.declarations
         version = declarations.version if declarations else 0
-        return DrawRequest(lifetime=self._parts.lifetime, version=version)
+        return DrawRequest(lifetime=self._parts.incarnation, version=version)
 
     def _total(self, name: str) -> int:
         declarations = self._parts.routing_state.declarations
@@ -226,27 +237,27 @@
             return 0
         return account.total_tokens
 
-    def _word(self, name: str, pool: AccountPool, address: str) -> DrawWord:
-        return pool.word(name, self._lives.get(address, ''), self._total(name))
+    def _report(self, name: str, pool: AccountPool, address: str) -> DrawWord:
+        return pool.report(name, self._incarnations.get(address, ''), self._total(name))
 
     async def _draw(
         self, pool: AccountPool, account: RouteAccount, tokens: int
     ) -> DrawAnswer.State:
-        """Draw what all waiting requests of an account need; return what the last keeper said."""
+        """Draw what all waiting requests of an account need; return the last allocator's answer."""
         state: DrawAnswer.State = DrawAnswer.AWAY
         async with pool.lock:
             for address in self._parts.choice.ranked(group_of(account.name)):
                 state = await self._draw_all(address, pool, account.name, tokens)
-                if pool.balance.fits(tokens) or state in KNOWING:
+                if pool.balance.fits(tokens) or state in FINAL:
                     break
         return state
 
     async def _draw_all(
         self, address: str, pool: AccountPool, name: str, tokens: int
     ) -> DrawAnswer.State:
-        """Ask one keeper until it gave enough, or says that it can't."""
+        """Ask one allocator until it has given enough or answers that it can't."""
         state: DrawAnswer.State = DrawAnswer.READY
-        while state in PROMISING and not pool.balance.fits(tokens):
+        while state in CALL_AGAIN and not pool.balance.fits(tokens):
             state = await self._draw_from(address, pool, name, tokens)
         return state
 
@@ -254,18 +265,18 @@
         self, address: str, pool: AccountPool, name: str, tokens: int
     ) -> DrawAnswer.State:
         request = self._request()
-        request.keeper = self._lives.get(address, '')
-        word = self._word(name, pool, address)
-        word.needed = tokens - pool.balance.available
-        word.waiting = max(word.needed, pool.waiting - pool.balance.available)
-        word.wanted = word.waiting + self._near(pool)
-        request.words.append(word)
-        # What the keeper gives is for all who wait: the first of them must not end the call when
-        # its own time is over, or on a slow link none would ever have an answer.
+        request.keeper = self._incarnations.get(address, '')
+        report = self._report(name, pool, address)
+        report.needed = tokens - pool.balance.available
+        report.waiting = max(report.needed, pool.waiting - pool.balance.available)
+        report.wanted = report.waiting + self._needed_soon(pool)
+        request.words.append(report)
+        # The tokens are for all waiting requests: a request whose own wait ends must not cancel
+        # the call, or on a slow link no request would ever get an answer.
         with anyio.CancelScope(shield=True):
             reply = await self._ask(address, request)
         if reply is None:
-            # A keeper that is still to be used is asked again: no other one has what it holds.
+            # An allocator that is still usable is asked again: only it can hand out its grant.
             usable = self._parts.choice.usable(address)
             return DrawAnswer.GROWING if usable else DrawAnswer.AWAY
         return reply.answers[0].state
@@ -274,7 +285,8 @@
         try:
             reply = await self._call(address, request)
         except (FleetError, TimeoutError) as error:
-            # The wait may be this process's own, or its link's: no reason to leave the keeper.
+            # If this process or its link caused the delay, there is no reason to avoid the
+            # allocator.
             own_delay = self._parts.peers.times.slow_elsewhere(address)
             sidecar_events.KEEPER_SILENT.log(
                 keeper=address,
@@ -287,7 +299,7 @@
             return None
         if reply.lifetime in self._ended:
             return None
-        self._take_in(address, request, reply)
+        self._apply(address, request, reply)
         return reply
 
     async def _call(self, address: str, request: DrawRequest) -> DrawReply:
@@ -297,21 +309,21 @@
         deadline_unix_s = self._parts.clock.now_s() + limit_s
         return await self._parts.peers.call(address, rpcs.DRAW, request, deadline_unix_s)
 
-    def _take_in(self, address: str, request: DrawRequest, reply: DrawReply) -> None:
-        self._lives[address] = reply.lifetime
-        # From now on nothing that an ended life says is taken in: what is told to be held of it
-        # is the last word.
+    def _apply(self, address: str, request: DrawRequest, reply: DrawReply) -> None:
+        self._incarnations[address] = reply.lifetime
+        # Ignore later replies of ended incarnations: the claims that are now reported on their
+        # tokens are final.
         self._ended.update(reply.ended)
-        self._asked_of[address] = tuple(reply.ended)
+        self._claims_requested[address] = tuple(reply.ended)
         if reply.leaving:
             self._parts.choice.avoid(address, LEAVING_S)
-        for word, answer in zip(request.words, reply.answers, strict=True):
+        for report, answer in zip(request.words, reply.answers, strict=True):
             pool = self._pool(answer.account)
-            drawn = pool.take_in(reply.lifetime, address, answer.drawn)
+            allocation = pool.add_drawn(reply.lifetime, address, answer.drawn)
             if request.keeper == reply.lifetime:
-                drawn.reported = Reported(word.returned, word.spent, word.total)
+                allocation.reported = Reported(report.returned, report.spent, report.total)
 
-    def _short(
+    def _refuse(
         self, account: RouteAccount, tokens: int, request_id: str, state: DrawAnswer.State
     ) -> Refusal:
         pool = self._pool(account.name)
@@ -329,4 +341,4 @@
             reason = f'{tokens} tokens at most do not fit into what is left of the prepaid total'
             return Refusal('budget_exhausted', reason, NOT_RUN, PAYMENT_REQUIRED)
         reason = 'the part of the prepaid total that can be reached does not cover the request'
-        return Refusal('budget_unreachable', reason, NOT_RUN, UNAVAILABLE, AGAIN_S)
+        return Refusal('budget_unreachable', reason, NOT_RUN, UNAVAILABLE, RETRY_AFTER_S)
--- a/packages/fleet/src/endivesaddle/fleet/routes/reservation.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/reservation.py
@@ -1,18 +1,18 @@
-"""What one request may cost at its worst, set aside until it is known."""
+"""Tokens reserved for the worst case of a request until its cost is known."""
 
 from endivesaddle.fleet.routes.grants import TokenBalance
 
 
 class Reservation:
-    """Tokens set aside for one request; ``settle`` ends it, once."""
+    """Tokens reserved for one request; only the first call of ``settle`` counts."""
 
     def __init__(self, balance: TokenBalance | None, tokens: int) -> None:
-        """Hold ``tokens`` of ``balance``, nothing without one."""
+        """Hold ``tokens`` of ``balance``; without a balance, nothing is reserved."""
         self._balance = balance
         self.tokens = tokens
 
     def settle(self, spent: int) -> None:
-        """End the reservation with what the request really cost."""
+        """End the reservation with the request's actual cost in tokens."""
         if self._balance is not None:
             self._balance.settle(self.tokens, spent)
             self._balance = None
