--- a/features/subjects/admission.py
+++ b/features/subjects/admission.py
@@ -109,10 +109,10 @@
         backend.start_request(routing_request, self._clock.now_s())
         await anyio.sleep(ENDS_S / 2)
         backend.first_event(routing_request)
-        self.router.changed(backend, soon=tokens >= LONG_TOKENS)
+        self.router.load_changed(backend, soon=tokens >= LONG_TOKENS)
         await anyio.sleep(ENDS_S / 2)
         backend.end_request(routing_request)
-        self.router.changed(backend, soon=False)
+        self.router.load_changed(backend, soon=False)
 
     async def _oldest_s(self) -> float:
         return self._clock.now_s() - min(self.heard_unix_s.values())
--- a/features/subjects/forward_runs.py
+++ b/features/subjects/forward_runs.py
@@ -30,7 +30,7 @@
 from endivesaddle.fleet.routes.running import Runner
 from endivesaddle.fleet.routing.backends import Backend
 from endivesaddle.fleet.routing.dispatcher import Dispatcher
-from endivesaddle.fleet.routing.engine_selection import NoAdmission
+from endivesaddle.fleet.routing.engine_selection import NoAdmissionControl
 from endivesaddle.fleet.routing.forward_settings import ForwardSettings
 from endivesaddle.fleet.sentinels import Refusal
 from endivesaddle.stand_ins.memory_peers import MemoryNet
@@ -230,14 +230,14 @@
         self.finished = True
 
 
-class CountingAdmission(NoAdmission):
+class CountingAdmission(NoAdmissionControl):
     """Sidecars beside engines that count what they are told at once."""
 
     def __init__(self) -> None:
         """Start at none."""
         self.soon_count = 0
 
-    def changed(self, backend: Backend, soon: bool) -> None:
+    def load_changed(self, backend: Backend, soon: bool) -> None:
         """Count a word that does not wait."""
         self.soon_count += soon
 
--- a/features/subjects/placing_desks.py
+++ b/features/subjects/placing_desks.py
@@ -9,7 +9,11 @@
 from endivesaddle.fleet.routes.declared import RouteServer
 from endivesaddle.fleet.routing.backends import Backend, ForwardRoutingRequest
 from endivesaddle.fleet.routing.engine_admission import EngineAdmission, Load, LoadReport
-from endivesaddle.fleet.routing.engine_selection import Admission, NoAdmission, select_engine
+from endivesaddle.fleet.routing.engine_selection import (
+    AdmissionControl,
+    NoAdmissionControl,
+    select_engine,
+)
 from endivesaddle.fleet.routing.placement_policies import PlacementContext, placement_policies
 from subjects.links_loop import ScenarioLoop
 
@@ -36,7 +40,7 @@
         self._hear(admission, backend)
         return taken_up
 
-    def changed(self, backend: Backend, soon: bool) -> None:
+    def load_changed(self, backend: Backend, soon: bool) -> None:
         """Tell the admission of the engine."""
         self._load.admissions[backend.server.lifetime].report(
             self._word(backend), self._load.now_unix_s
@@ -44,7 +48,9 @@
 
     def _hear(self, admission: EngineAdmission, backend: Backend) -> None:
         others = admission.others(str(self._router), self._load.now_unix_s)
-        backend.apply_sidecar_report(others.in_flight, others.reading_tokens, self._load.now_unix_s)
+        backend.apply_sidecar_report(
+            others.in_flight, others.prefilling_tokens, self._load.now_unix_s
+        )
 
     def _word(self, backend: Backend) -> LoadReport:
         self._load.words += 1
@@ -65,8 +71,8 @@
         self.count = 0
         self._free_unix_s = dict.fromkeys(self.admissions, 0.0)
         self._routers = [[Backend(server) for server in servers] for _ in range(routers)]
-        self._ways: list[Admission] = [
-            Told(self, n) if asked else NoAdmission() for n in range(routers)
+        self._ways: list[AdmissionControl] = [
+            Told(self, n) if asked else NoAdmissionControl() for n in range(routers)
         ]
         self._waiting: list[tuple[float, int, Backend, ForwardRoutingRequest]] = []
         self._talk_unix_s = 0.0
@@ -104,7 +110,7 @@
         for first_unix_s, router, backend, routing_request in self._waiting:
             if first_unix_s <= self.now_unix_s:
                 backend.end_request(routing_request)
-                self._ways[router].changed(backend, soon=True)
+                self._ways[router].load_changed(backend, soon=True)
         self._waiting = [entry for entry in self._waiting if entry[0] > self.now_unix_s]
 
     def _talk(self) -> None:
--- a/packages/fleet/src/endivesaddle/fleet/routes/sidecar_admission.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/sidecar_admission.py
@@ -69,7 +69,7 @@
             backend.pending_tokens -= tokens
         return reply is None or reply.taken_up
 
-    def changed(self, backend: Backend, soon: bool) -> None:
+    def load_changed(self, backend: Backend, soon: bool) -> None:
         """Tell what is under way at an engine now, ``soon`` or with the next word."""
         self._changed[backend.server.lifetime] = backend
         if soon:
@@ -150,7 +150,7 @@
             admission.report(word, now_unix_s)
         others = admission.others(asked.lifetime, now_unix_s)
         return EnterReply(
-            taken_up=taken_up, reading_tokens=others.reading_tokens, in_flight=others.in_flight
+            taken_up=taken_up, reading_tokens=others.prefilling_tokens, in_flight=others.in_flight
         )
 
     handlers.answer(rpcs.ENTER, enter)
--- a/packages/fleet/src/endivesaddle/fleet/routing/crash_events.py
+++ b/packages/fleet/src/endivesaddle/fleet/routing/crash_events.py
@@ -1,19 +1,17 @@
-"""Log events of requests that end servers."""
+"""Log events of requests that crash servers."""
 
 from endivesaddle.fleet.events import event
 
 RAN = event(
-    3101, 'WARNING', 'crash_noted', "a server's process ended while it ran a request; its digest"
-)
-HELD = event(
-    3102, 'WARNING', 'crash_held', 'a request ended too many servers, and goes to no more for now'
+    3101, 'WARNING', 'crash_noted', 'a server process ended while it ran a request; its digest'
 )
+HELD = event(3102, 'WARNING', 'crash_held', 'a request crashed too many servers and is held back')
 ANSWERED = event(
-    3103, 'INFO', 'crash_cleared', 'a request was answered: what ended before was not its doing'
+    3103, 'INFO', 'crash_cleared', 'a request was answered: it did not cause the earlier crashes'
 )
 BROKEN = event(
-    3104, 'INFO', 'crash_checked', 'a run broke; whether its server listens still, as a check told'
+    3104, 'INFO', 'crash_checked', 'a run broke; whether its server still accepts connections'
 )
 UNWRITTEN = event(
-    3105, 'INFO', 'crash_unwritten', 'a record of a request could not be written or read; tried on'
+    3105, 'INFO', 'crash_unwritten', 'a record of a request could not be read or written; retrying'
 )
--- a/packages/fleet/src/endivesaddle/fleet/routing/crash_records.py
+++ b/packages/fleet/src/endivesaddle/fleet/routing/crash_records.py
@@ -1,9 +1,9 @@
-"""Requests under which processes of servers ended; one that ended too many is held back.
+"""Requests that crash servers: records of them, and holding back those that crashed too many.
 
-Load pattern: one request ends each server that begins to run it, with all that run beside it, and
-its caller sends it again and again, at any router.  Limits: a few ends may be chance, as what runs
-beside such a request is lost with it, but not again and again without an answer between; and
-servers that end together have a cause in common.  Decisions only, no input or output.
+Load pattern: one request crashes each server that starts to run it, along with all requests running
+there, and its caller retries it repeatedly at any router.  Limits: a few crashes may be chance,
+since requests that run beside such a request are lost with it, but not repeatedly without a
+response in between; and servers that end together have a common cause.  Without I/O.
 """
 
 from collections.abc import Callable, Iterable
@@ -13,29 +13,29 @@
 from endivesaddle.fleet.routing.forward_settings import ForwardSettings
 
 RETENTION_S = 600.0
-"""A record is forgotten so long after its last end, or after it was held back."""
+"""A record is dropped this long after its last crash or the end of its hold."""
 MAX_HELD_S = 86400.0
 MAX_RECORDS = 256
-"""Far more than run at one server when it ends; the oldest yield."""
+"""Far more than the requests running on one server when it ends; the oldest are dropped."""
 MIN_INCIDENTS = 2
-"""Servers that end at one moment may have another cause, as when they lose power together."""
+"""Servers that end simultaneously may have another cause, such as a loss of power."""
 MAX_INCARNATIONS = 32
-"""Lives of servers in one record; beyond these what was answered is left out."""
+"""Server incarnations per record; beyond this, those before the last response are dropped."""
 MAX_DOUBLINGS = 10
 EXPIRY_INTERVAL_S = 1.0
-"""Between looks for records that are old: each passes over all of them."""
+"""Interval between checks for expired records, each of which scans all records."""
 LOCAL_SOURCE = 'here'
-"""The source of what this instance noted itself."""
+"""The source of what this instance recorded itself."""
 
 
 class EndedRun(NamedTuple):
-    """When a request began to run at a server that ended, and when that broke."""
+    """When a request started on a server that crashed, and when its connection broke."""
 
     began_unix_s: float
     broke_unix_s: float
 
     def merged(self, other: 'EndedRun') -> 'EndedRun':
-        """Return the time of both, where several runs were under way at one server."""
+        """Return the period of both, for several runs on one server."""
         began_unix_s = min(self.began_unix_s, other.began_unix_s)
         return EndedRun(began_unix_s, max(self.broke_unix_s, other.broke_unix_s))
 
@@ -43,9 +43,9 @@
 class CrashRecord(NamedTuple):
     """What is known of one request.
 
-    ``ended`` has the lives of servers that ended while they ran it; those of them that are
-    ``answered`` too count no more, as the request was answered after them.  ``tries`` tells how
-    often it was tried after being held back, ``number`` when the record last changed here.
+    ``ended`` has the server incarnations that ended while they ran it.  Those also in ``answered``
+    no longer count, since the request was answered after them.  ``tries`` is how often it was
+    tried after being held back, ``number`` the number of the last change on this instance.
     """
 
     digest: str
@@ -58,14 +58,14 @@
 
     @property
     def crashed_incarnations(self) -> list[str]:
-        """The servers that ended under it since it was last answered."""
+        """The server incarnations that it crashed since it was last answered."""
         return sorted(self.ended.keys() - self.answered)
 
     @property
     def incidents(self) -> int:
-        """How many ends came one after the other: each run began after the last one broke.
+        """The number of successive crashes, where each run began after the previous one broke.
 
-        Servers that lose power together end under all that many callers ask for.
+        Servers that lose power together count as crashed by all of their requests.
         """
         runs = sorted(
             (self.ended[incarnation] for incarnation in self.crashed_incarnations), key=_broke
@@ -82,12 +82,12 @@
 class CrashRecords:
     """The records of one instance.
 
-    Two instances' records of a request are joined by taking all lives of both, so that words may
-    be lost, late or come twice.
+    Two instances' records of a request are merged into the union of their incarnations, so that
+    reports may be lost, late or repeated.
     """
 
     def __init__(self, settings: ForwardSettings) -> None:
-        """Start with none."""
+        """Initialize with no records."""
         self.number = 0
         self.listeners: list[Callable[[str], None]] = []
         self._settings = settings
@@ -95,20 +95,20 @@
         self._next_expiry_unix_s = 0.0
 
     def __len__(self) -> int:
-        """Count the records; most of the time there are none."""
+        """Return the number of records, usually 0."""
         return len(self._records)
 
     def find(self, digest: str) -> CrashRecord | None:
-        """Return the record of a request, if any."""
+        """Return the record of a request, or None."""
         return self._records.get(digest)
 
     def held_s(self, digest: str, now_unix_s: float) -> float:
-        """Return for how many seconds a request is still held back, 0 where it may run."""
+        """Return the seconds for which a request is still held back, 0 if it may run."""
         record = self._records.get(digest)
         return max(0.0, record.held_until_unix_s - now_unix_s) if record else 0.0
 
     def record_crash(self, digest: str, incarnation: str, run: EndedRun, now_unix_s: float) -> None:
-        """Note that a life of a server ended while it ran a request."""
+        """Record that a server incarnation ended while it ran a request."""
         record = self._merge(CrashRecord(digest, {incarnation: run}), now_unix_s, LOCAL_SOURCE)
         if record is not None:
             events.RAN.log(
@@ -120,7 +120,7 @@
             self._notify(digest)
 
     def record_success(self, digest: str, now_unix_s: float) -> None:
-        """Note that a request was answered with success: it ends no servers."""
+        """Record a successful response: the request does not crash servers."""
         record = self._records.get(digest)
         if record is not None and record.crashed_incarnations:
             events.ANSWERED.log(digest=digest, ends=len(record.crashed_incarnations))
@@ -129,11 +129,11 @@
             self._notify(digest)
 
     def merge(self, received: CrashRecord, now_unix_s: float, source: str) -> None:
-        """Take in what another instance or the store tells."""
+        """Merge a record from another instance or the store."""
         self._merge(received, now_unix_s, source)
 
     def since(self, number: int, most: int) -> list[CrashRecord]:
-        """Return the first ``most`` records that changed after a number, the oldest first."""
+        """Return the first ``most`` records that changed after a number, oldest first."""
         if number == self.number:
             return []
         return [record for record in self._records.values() if record.number > number][:most]
@@ -149,7 +149,7 @@
         }
 
     def _merge(self, received: CrashRecord, now_unix_s: float, source: str) -> CrashRecord | None:
-        """Add what is told to a record; None where nothing is new."""
+        """Merge a record and return the result, None if nothing is new."""
         self._drop_expired(now_unix_s)
         known = self._records.get(received.digest) or CrashRecord(received.digest)
         ended = _merged(known.ended, received.ended)
@@ -184,15 +184,15 @@
         return record
 
     def _with_hold(self, record: CrashRecord, known: CrashRecord, now_unix_s: float) -> CrashRecord:
-        """Hold a request back where too many servers have ended under it.
+        """Return the record with a hold if the request has crashed too many servers.
 
-        When its time is over one more try is let through, as servers may have been mended
-        meanwhile; an end under it holds the request back for twice as long.
+        After the hold one more attempt is allowed, since the servers may have been repaired; a
+        crash in it holds the request back for twice as long.
         """
         held_until_unix_s = 0.0
         tries = record.tries
         if self._is_fatal(record):
-            # Bounded, as the store may hold what another writer left there.
+            # Bounded, since the store may contain a value of another writer.
             held_until_unix_s = min(record.held_until_unix_s, now_unix_s + MAX_HELD_S)
             if held_until_unix_s <= now_unix_s:
                 tries += self._is_fatal(known)
@@ -203,7 +203,7 @@
         )
 
     def _is_fatal(self, record: CrashRecord) -> bool:
-        """Tell whether the ends speak against a request: enough, and not all at one moment."""
+        """Return whether a request has crashed enough servers, not all of them at once."""
         most = self._settings.crash_ends
         return len(record.crashed_incarnations) >= most and record.incidents >= min(
             most, MIN_INCIDENTS
@@ -256,10 +256,10 @@
 
 
 def _least_valuable(records: Iterable[CrashRecord]) -> CrashRecord:
-    """Return the record that may be forgotten first: of few ends, and changed long ago.
+    """Return the record to drop first: one with few crashes that changed long ago.
 
-    Records stand in the order of their changes. Mostly the first one has a single end: when many
-    servers end at once, thousands of records come in, and no pass over all of them is made.
+    Records are in the order of their changes.  Usually the first one has a single crash, so that
+    not all records are scanned when many servers end at once and thousands of records arrive.
     """
     first = next(iter(records))
     return first if _crash_count(first) <= 1 else min(records, key=_crash_count)
--- a/packages/fleet/src/endivesaddle/fleet/routing/dispatcher.py
+++ b/packages/fleet/src/endivesaddle/fleet/routing/dispatcher.py
@@ -14,8 +14,8 @@
 from endivesaddle.fleet.routing.crash_records import CrashRecords
 from endivesaddle.fleet.routing.engine_selection import (
     MIN_ASKED_TOKENS,
-    Admission,
-    NoAdmission,
+    AdmissionControl,
+    NoAdmissionControl,
     select_engine,
 )
 from endivesaddle.fleet.routing.forward_settings import ForwardSettings
@@ -67,7 +67,7 @@
     def start(self) -> None:
         """Record that the request is sent."""
         self.backend.start_request(self._request, self._dispatcher.now_s())
-        self._dispatcher.sent_parts.note(self.backend.server.lifetime, self._request)
+        self._dispatcher.sent_parts.record(self.backend.server.lifetime, self._request)
         if self.uncached_tokens >= LARGE_PROMPT_TOKENS:
             for listener in self._dispatcher.large_prompt_listeners:
                 listener()
@@ -81,7 +81,7 @@
         if self._request.key not in self.backend.prefilling:
             return
         self.backend.first_event(self._request)
-        self._dispatcher.admission.changed(
+        self._dispatcher.admission.load_changed(
             self.backend, soon=self.uncached_tokens >= MIN_ASKED_TOKENS
         )
 
@@ -90,7 +90,7 @@
         read = self._request.key not in self.backend.prefilling
         self.backend.end_request(self._request)
         soon = not read and self.uncached_tokens >= MIN_ASKED_TOKENS
-        self._dispatcher.admission.changed(self.backend, soon=soon)
+        self._dispatcher.admission.load_changed(self.backend, soon=soon)
         self.backend.record_outcome(success, self._dispatcher.now_s())
 
     def mark_unreachable(self, process_ended: bool) -> None:
@@ -130,7 +130,7 @@
         )
         self.large_prompt_listeners: list[Callable[[], None]] = []
         self.counts: Counter[str] = Counter()
-        self.admission: Admission = NoAdmission()
+        self.admission: AdmissionControl = NoAdmissionControl()
         self.router_count = MIN_ROUTERS
         self._settings = settings
         self._clock = clock
@@ -158,7 +158,7 @@
         service = self._service(request)
         routing_request = request.routing_request(service)
         if not exclude:
-            self._retry_share(service).request(self.now_s())
+            self._retry_share(service).record_request(self.now_s())
         backends = self._candidates.open(request, service, exclude, self.now_s())
         if not backends:
             return self._refuse_no_server(request, service)
--- a/packages/fleet/src/endivesaddle/fleet/routing/engine_admission.py
+++ b/packages/fleet/src/endivesaddle/fleet/routing/engine_admission.py
@@ -1,74 +1,78 @@
-"""What all routers have under way at one engine, counted by the sidecar beside it.
+"""The load of all routers on one engine, counted by the sidecar beside it.
 
-Load pattern: many routers, each with few requests.  They hear of each other once in a while,
-and until then all take the engine that was idle last; one that reads a prompt of 30,000 tokens
-got eight more within a second.  Asked for each prompt, the sidecar knows what came just before.
+Load pattern: many routers, each with few requests.  They exchange reports only now and then, and in
+between all choose the engine that was idle last; an engine in prefill of a prompt of 30,000 tokens
+got eight more within a second.  The sidecar is asked for each prompt and knows the latest load.
 """
 
 from typing import NamedTuple
 
-READ_S = 2.0
-"""Prompts that a router told of so long ago are read, or the router is gone."""
-STALE_S = 6.5
-"""What a router has under way is forgotten when it was not heard for so long: it tells each
-3 s while it has anything there."""
+PREFILL_VALID_S = 2.0
+"""Prompts reported longer ago are processed, or their router is gone."""
+REPORT_VALID_S = 6.5
+"""A router's report expires after this long: it reports every 3 s while it has requests on the
+engine."""
 
 
 class Load(NamedTuple):
-    """Prompt tokens to be read at an engine, and requests under way there."""
+    """Prompt tokens in prefill and requests in flight on an engine."""
 
-    reading_tokens: int
+    prefilling_tokens: int
     in_flight: int
 
 
 class LoadReport(NamedTuple):
-    """One router's word: ``number`` grows within the router's life."""
+    """The load of one router; ``number`` grows within an incarnation of the router."""
 
     lifetime: str
     number: int
     load: Load
 
 
-class _Heard(NamedTuple):
-    """A router's newest word, and until when its prompts and its requests count."""
+class _LatestReport(NamedTuple):
+    """A router's latest report, and until when its tokens and its requests count."""
 
-    word: LoadReport
-    reading_until_unix_s: float
+    report: LoadReport
+    prefilling_until_unix_s: float
     until_unix_s: float
 
 
 class EngineAdmission:
-    """The counts of one engine: decisions only, no input or output."""
+    """The load and the admission decisions of one engine, without I/O."""
 
     def __init__(self) -> None:
-        """Start without routers."""
-        self._heard: dict[str, _Heard] = {}
+        """Initialize with no routers."""
+        self._latest: dict[str, _LatestReport] = {}
 
-    def report(self, word: LoadReport, now_unix_s: float) -> None:
-        """Take in what a router has under way; an older word changes nothing."""
-        heard = self._heard.get(word.lifetime)
-        if heard is None or heard.word.number < word.number:
-            self._heard[word.lifetime] = _Heard(word, now_unix_s + READ_S, now_unix_s + STALE_S)
+    def report(self, report: LoadReport, now_unix_s: float) -> None:
+        """Apply a router's report; ignore an outdated one."""
+        latest = self._latest.get(report.lifetime)
+        if latest is None or latest.report.number < report.number:
+            self._latest[report.lifetime] = _LatestReport(
+                report, now_unix_s + PREFILL_VALID_S, now_unix_s + REPORT_VALID_S
+            )
 
     def others(self, lifetime: str, now_unix_s: float) -> Load:
-        """Return what all routers but one have under way."""
-        self._heard = {
-            name: heard for name, heard in self._heard.items() if heard.until_unix_s > now_unix_s
+        """Return the load of all routers but one."""
+        self._latest = {
+            name: latest
+            for name, latest in self._latest.items()
+            if latest.until_unix_s > now_unix_s
         }
-        others = [heard for name, heard in self._heard.items() if name != lifetime]
-        reading = [heard for heard in others if heard.reading_until_unix_s > now_unix_s]
+        others = [latest for name, latest in self._latest.items() if name != lifetime]
+        prefilling = [latest for latest in others if latest.prefilling_until_unix_s > now_unix_s]
         return Load(
-            sum(heard.word.load.reading_tokens for heard in reading),
-            sum(heard.word.load.in_flight for heard in others),
+            sum(latest.report.load.prefilling_tokens for latest in prefilling),
+            sum(latest.report.load.in_flight for latest in others),
         )
 
     def admit(
-        self, word: LoadReport, asked_tokens: int, most_tokens: int, now_unix_s: float
+        self, report: LoadReport, asked_tokens: int, most_tokens: int, now_unix_s: float
     ) -> bool:
-        """Take a prompt up, unless the others have more than ``most_tokens`` to be read."""
-        taken_up = self.others(word.lifetime, now_unix_s).reading_tokens <= most_tokens
-        if taken_up:
-            load = Load(word.load.reading_tokens + asked_tokens, word.load.in_flight + 1)
-            word = word._replace(load=load)
-        self.report(word, now_unix_s)
-        return taken_up
+        """Admit a prompt unless the other routers have over ``most_tokens`` in prefill."""
+        admitted = self.others(report.lifetime, now_unix_s).prefilling_tokens <= most_tokens
+        if admitted:
+            load = Load(report.load.prefilling_tokens + asked_tokens, report.load.in_flight + 1)
+            report = report._replace(load=load)
+        self.report(report, now_unix_s)
+        return admitted
--- a/packages/fleet/src/endivesaddle/fleet/routing/engine_selection.py
+++ b/packages/fleet/src/endivesaddle/fleet/routing/engine_selection.py
@@ -17,33 +17,32 @@
 ANY_TOKENS = 1 << 40
 
 
-class Admission(Protocol):
-    """The sidecars beside engines, as a router reaches them."""
+class AdmissionControl(Protocol):
+    """Admission control by the sidecars beside engines, as a router calls it."""
 
     async def admit(self, backend: Backend, tokens: int, most_tokens: int) -> bool:
-        """Ask for a place for a prompt, and learn what the other routers have there.
+        """Ask the sidecar to admit a prompt, and apply its report of the other routers' load.
 
-        True where the prompt may go there, also where nobody could be asked.
+        Return True if the prompt may go to the engine, also if no sidecar could be asked.
         """
 
-    def changed(self, backend: Backend, soon: bool) -> None:
-        """Tell the sidecar beside an engine what is under way there now, ``soon`` or with the next
-        word."""
+    def load_changed(self, backend: Backend, soon: bool) -> None:
+        """Report this router's load on an engine to its sidecar, ``soon`` or with the next one."""
 
 
-class NoAdmission:
-    """No sidecar stands beside any engine."""
+class NoAdmissionControl:
+    """Admission control without sidecars."""
 
     async def admit(self, backend: Backend, tokens: int, most_tokens: int) -> bool:
-        """Take up any prompt."""
+        """Admit any prompt."""
         return True
 
-    def changed(self, backend: Backend, soon: bool) -> None:
-        """Tell nobody."""
+    def load_changed(self, backend: Backend, soon: bool) -> None:
+        """Report nothing."""
 
 
 async def select_engine(
-    context: PlacementContext, policy: PlacementPolicy, admission: Admission
+    context: PlacementContext, policy: PlacementPolicy, admission: AdmissionControl
 ) -> Backend:
     """Return the backend for a prompt.
 
--- a/packages/fleet/src/endivesaddle/fleet/routing/forward_events.py
+++ b/packages/fleet/src/endivesaddle/fleet/routing/forward_events.py
@@ -3,11 +3,14 @@
 from endivesaddle.fleet.events import event
 
 UNWANTED = event(
-    3106, 'INFO', 'server_unwanting', 'a server turned a request away, and wants none for a while'
+    3106, 'INFO', 'server_unwanting', 'a server rejected a request and asked for none for a while'
 )
 HEADER_UNREAD = event(
-    3107, 'WARNING', 'server_header_unread', "a header of servers' answers that nothing here reads"
+    3107, 'WARNING', 'server_header_unread', 'an unknown header in the responses of servers'
 )
 LIMIT = event(
-    3108, 'INFO', 'server_limited', 'what a server takes from all routers, 0 for no limit any more'
+    3108,
+    'INFO',
+    'server_limited',
+    'the rate limit of a server for all routers together, 0 if it was removed',
 )
--- a/packages/fleet/src/endivesaddle/fleet/routing/forward_settings.py
+++ b/packages/fleet/src/endivesaddle/fleet/routing/forward_settings.py
@@ -1,4 +1,4 @@
-"""Settings of forwarding."""
+"""Settings of request forwarding."""
 
 import dataclasses
 
@@ -10,7 +10,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class ForwardSettings:
-    """How requests on routes are placed and repeated."""
+    """How forwarded requests are placed and retried."""
 
     forward_policy: str = settings.option(
         'forward-policy',
--- a/packages/fleet/src/endivesaddle/fleet/routing/rendezvous.py
+++ b/packages/fleet/src/endivesaddle/fleet/routing/rendezvous.py
@@ -1,8 +1,8 @@
-"""An order that all instances agree on without a word (highest random weight)."""
+"""An order that is the same on all instances without communication (highest random weight)."""
 
 import hashlib
 
 
 def weight(subject: str, member: str) -> bytes:
-    """Return what ``member`` is ordered by for ``subject``, the same at all instances."""
+    """Return the sort key of ``member`` for ``subject``, the same on all instances."""
     return hashlib.blake2b(f'{subject}/{member}'.encode(), digest_size=8).digest()
--- a/packages/fleet/src/endivesaddle/fleet/routing/sent_parts.py
+++ b/packages/fleet/src/endivesaddle/fleet/routing/sent_parts.py
@@ -1,7 +1,7 @@
-"""Which shared parts of prompts went where, for the other routers to know.
+"""The servers to which this router sent shared prompt parts, to report to the other routers.
 
-Each router sees a fraction of the requests about one subject.  Going by its own alone it
-sent a part to servers that had to read it, though another held it already.
+Each router sees a fraction of the requests about one subject.  With only its own requests known, a
+router sent a part to servers that had to process it although another server had it cached.
 """
 
 from collections import deque
@@ -10,34 +10,34 @@
 
 from endivesaddle.fleet.routing.backends import ForwardRoutingRequest
 
-MOST_TOLD = 48
-"""Parts in one word to another router: what five routers send at 100 requests a second.
+MAX_REPORTED_PARTS = 48
+"""Maximum of parts in one report to another router: enough for five routers at 100 requests/s.
 
-With many routers the words are fewer and leave out the older ones, so that they stay small."""
+With many routers, reports are less frequent and omit older parts, so that they stay small."""
 
 
 class SentPart(NamedTuple):
-    """A shared part that went to a server."""
+    """A shared part that was sent to a server."""
 
     server: str
     part: str
 
 
 class SentParts:
-    """The newest shared parts that this router sent; ``count`` numbers them."""
+    """The latest shared parts that this router sent, ``count`` in total."""
 
     def __init__(self) -> None:
-        """Start with none."""
+        """Initialize with no parts."""
         self.count = 0
-        self._newest: deque[SentPart] = deque(maxlen=MOST_TOLD)
+        self._newest: deque[SentPart] = deque(maxlen=MAX_REPORTED_PARTS)
 
-    def note(self, server: str, request: ForwardRoutingRequest) -> None:
-        """Take in the shared parts of a request that goes to a server."""
+    def record(self, server: str, request: ForwardRoutingRequest) -> None:
+        """Record the shared parts of a request that is sent to a server."""
         for part, _ in request.parts[:-1]:
             self._newest.append(SentPart(server, part))
             self.count += 1
 
     def since(self, count: int) -> Sequence[SentPart]:
-        """Return those that came after the first ``count``."""
-        fresh = min(self.count - count, len(self._newest))
-        return list(self._newest)[len(self._newest) - fresh :]
+        """Return the parts sent after the first ``count``."""
+        new_count = min(self.count - count, len(self._newest))
+        return list(self._newest)[len(self._newest) - new_count :]
--- a/packages/fleet/src/endivesaddle/fleet/routing/server_signals.py
+++ b/packages/fleet/src/endivesaddle/fleet/routing/server_signals.py
@@ -1,8 +1,8 @@
-"""What servers tell of themselves in the heads of their answers: one way for all of it.
+"""Signals that servers send in the headers of their responses.
 
-An adapter names the header of each signal; here it is read, and noted for this router or for all of
-them.  Decisions ask what was noted where servers are chosen, and but for limits again right before
-a request is sent.  A header that is no signal and is not known otherwise is logged as unread.
+An adapter names the header of each signal.  It is parsed here and recorded for this router or for
+all routers.  Decisions use it when a server is chosen and, except for limits, again right before a
+request is sent.  A header that is not a signal and not otherwise known is logged as unread.
 """
 
 import math
@@ -20,7 +20,7 @@
 
 
 class SignalHeader(NamedTuple):
-    """One signal of an answer; ``text`` is empty where the answer has no such header.
+    """One signal of a response; ``text`` is empty if the response has no such header.
 
     ``sent_unix_s`` is when the request was sent, 0 for unknown.
     """
@@ -38,7 +38,7 @@
 
 @server_signals.add('leaving')
 def leaving(header: SignalHeader, backend: Backend, routing_state: RoutingState) -> None:
-    """Note for all routers that a server wants no more requests in this life."""
+    """Record for all routers that this incarnation of a server accepts no more requests."""
     if header.text.strip() == YES:
         routing_state.leaving_servers.add(
             LeavingIncarnation(backend.server.lifetime, backend.server.born_unix_ms), ANSWER
@@ -47,44 +47,45 @@
 
 @server_signals.add('retry_after')
 def retry_after(header: SignalHeader, backend: Backend, routing_state: RoutingState) -> None:
-    """Note for this router, to which it was said, that a server wants none for a while."""
-    wanted_in_s = number(header.text) if header.status == UNAVAILABLE else None
-    if wanted_in_s:
-        backend.rejecting_until_unix_s = header.now_unix_s + wanted_in_s
-        events.UNWANTED.log(server=backend.server.lifetime, wanted_in_s=round(wanted_in_s, 3))
+    """Record for this router only that a server rejects requests for a while."""
+    wait_s = parse_number(header.text) if header.status == UNAVAILABLE else None
+    if wait_s:
+        backend.rejecting_until_unix_s = header.now_unix_s + wait_s
+        events.UNWANTED.log(server=backend.server.lifetime, wanted_in_s=round(wait_s, 3))
 
 
 @server_signals.add('limit')
 def limit(header: SignalHeader, backend: Backend, routing_state: RoutingState) -> None:
-    """Note for all routers how many requests a second a server takes from them together."""
+    """Record for all routers the requests per second that a server accepts from all of them."""
     if not header.text:
         routing_state.limits.withdrawn(
             backend.server.incarnation, header.sent_unix_s, header.now_unix_s
         )
         return
-    per_s = number(header.text)
+    per_s = parse_number(header.text)
     if per_s is not None:
         routing_state.limits.advertised(backend.server.incarnation, per_s, header.now_unix_s)
 
 
-_ALL = tuple((name, server_signals.find(name)) for name in server_signals)
+_SIGNALS = tuple((name, server_signals.find(name)) for name in server_signals)
 
 
-def number(text: str) -> float | None:
-    """Read a number that is not negative; None for anything else.
+def parse_number(text: str) -> float | None:
+    """Parse a number that is not negative; return None for anything else.
 
-    For a time HTTP allows a date, too: servers' clocks may be wrong by more than their dates say.
+    HTTP also allows a date for a time.  It is ignored, since the clock of a server may be wrong by
+    more than the wait.
     """
     try:
-        read = float(text)
+        parsed = float(text)
     except ValueError:
         return None
-    return read if math.isfinite(read) and read >= 0 else None
+    return parsed if math.isfinite(parsed) and parsed >= 0 else None
 
 
 def apply_signals(
     texts: Mapping[str, str], header: SignalHeader, backend: Backend, routing_state: RoutingState
 ) -> None:
-    """Note all signals of an answer; ``texts`` has those that it gives, by name."""
-    for name, signal in _ALL:
+    """Record all signals of a response; ``texts`` maps the names of those present to values."""
+    for name, signal in _SIGNALS:
         signal(header._replace(text=texts.get(name, '')), backend, routing_state)
