--- a/packages/fleet/src/endivesaddle/fleet/routes/crash_detection.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/crash_detection.py
@@ -1,9 +1,9 @@
-"""Find out, for each run that broke, whether the process of its server ended.
+"""Detect, for each broken run, whether the process of its server ended.
 
-A broken connection alone says nothing: answers are lost and connections cut while servers go on.
-A server has ended that refuses connections right after, or whose entry is gone soon after; where
-connections are taken, only its next life at the same address tells, as what starts a process again
-may hold its address open.
+A broken connection alone proves nothing: responses get lost and connections are cut while servers
+keep running.  A server has ended if it refuses connections right afterwards, or if its entry
+disappears soon afterwards.  If connections are accepted, only the next incarnation at the same
+address proves it, since a process supervisor may keep the socket open between incarnations.
 """
 
 from collections import deque
@@ -20,17 +20,17 @@
 from endivesaddle.fleet.routing.crash_records import CrashRecords, EndedRun
 
 CHECK_S = 0.25
-"""A refused connection takes one way there and back, also between regions."""
+"""Time-out of the connection check.  A refusal takes one round trip, also between regions."""
 PENDING_S = 8.0
-"""The entry of a server that ended without a word is gone from the store well within this."""
-MOST_PENDING = 512
-MOST_ENDED = 256
+"""How long a broken run is watched.  The entry of a crashed server expires well within this."""
+MAX_PENDING = 512
+MAX_ENDED = 256
 
 
 class BrokenRun(NamedTuple):
-    """A run without an answer, of which it is not known yet whether its server ended.
+    """A run without an answer whose server may have ended.
 
-    ``listens`` tells that connections to the server were taken after it.
+    ``listens`` is whether the server accepted a connection after the run broke.
     """
 
     digest: str
@@ -41,7 +41,7 @@
 
 
 class CrashDetector:
-    """Broken runs of one router."""
+    """Watches the servers of one router's broken runs."""
 
     def __init__(
         self,
@@ -50,47 +50,47 @@
         links: ServerConnections,
         clock: Clock,
     ) -> None:
-        """Note in ``records`` which requests ran at servers that ended."""
+        """Record in ``records`` which requests ran at servers that ended."""
         self._records = records
         self._routing_state = routing_state
         self._links = links
         self._clock = clock
-        self._pending: deque[BrokenRun] = deque(maxlen=MOST_PENDING)
-        self._ended: deque[str] = deque(maxlen=MOST_ENDED)
-        routing_state.listeners.append(self._look)
+        self._pending: deque[BrokenRun] = deque(maxlen=MAX_PENDING)
+        self._ended: deque[str] = deque(maxlen=MAX_ENDED)
+        routing_state.listeners.append(self._check_pending)
 
     async def run_broke(self, digest: str, server: RouteServer, began_unix_s: float) -> bool:
-        """Take in a run that broke, and tell whether its server is known to have ended.
+        """Record a broken run, and return whether its server is known to have ended.
 
-        Looks at the server for ``CHECK_S`` at most; what the store tells later counts too.
+        Checks the server for at most ``CHECK_S``; later changes of its entry count as well.
         """
-        self._note(digest, server, began_unix_s)
+        self._add_pending(digest, server, began_unix_s)
         listens: bool | None = None
         if server.incarnation not in self._ended:
-            listens = await self._listens(server)
+            listens = await self._accepts_connections(server)
             events.BROKEN.log(digest=digest, server=server.lifetime, listens=listens)
         if listens:
-            self._listened(server)
+            self._mark_listening(server)
         elif listens is False:
             self._ended.append(server.incarnation)
-        self._look()
+        self._check_pending()
         return server.incarnation in self._ended
 
     def run_timed_out(self, digest: str, server: RouteServer, began_unix_s: float) -> None:
-        """Take in a run whose time was over before an answer.
+        """Record a run that got no answer before the deadline.
 
-        A machine that is gone breaks no connection: only the server's entry tells, after a while.
+        A machine that is lost closes no connection: only the server's entry shows it, later.
         """
-        self._note(digest, server, began_unix_s)
-        self._look()
+        self._add_pending(digest, server, began_unix_s)
+        self._check_pending()
 
-    def _note(self, digest: str, server: RouteServer, began_unix_s: float) -> None:
+    def _add_pending(self, digest: str, server: RouteServer, began_unix_s: float) -> None:
         now_unix_s = self._clock.now_s()
         run = EndedRun(began_unix_s, now_unix_s)
         self._pending.append(BrokenRun(digest, server, run, now_unix_s + PENDING_S))
 
-    async def _listens(self, server: RouteServer) -> bool | None:
-        """Tell whether a server takes connections; None where that can't be told."""
+    async def _accepts_connections(self, server: RouteServer) -> bool | None:
+        """Tell whether a server accepts connections; None if that is uncertain."""
         with anyio.move_on_after(CHECK_S):
             try:
                 await self._links.check(server)
@@ -101,19 +101,19 @@
             return True
         return None
 
-    def _listened(self, server: RouteServer) -> None:
-        """Note of runs that broke at a server that connections to it are taken."""
+    def _mark_listening(self, server: RouteServer) -> None:
+        """Mark the broken runs at a server: it accepts connections."""
         for index, broken in enumerate(self._pending):
             if broken.server.incarnation == server.incarnation:
                 self._pending[index] = broken._replace(listens=True)
 
-    def _look(self) -> None:
-        """Note the runs whose servers are known to have ended by now."""
+    def _check_pending(self) -> None:
+        """Record the runs whose servers are known to have ended by now."""
         if not self._pending:
             return
         now_unix_s = self._clock.now_s()
         pending = [broken for broken in self._pending if broken.until_unix_s > now_unix_s]
-        self._pending = deque(maxlen=MOST_PENDING)
+        self._pending = deque(maxlen=MAX_PENDING)
         for broken in pending:
             if self._has_ended(broken):
                 life = broken.server.incarnation
@@ -124,7 +124,8 @@
     def _has_ended(self, broken: BrokenRun) -> bool:
         """Tell whether the server of a run is known to have ended.
 
-        One that takes connections may go on without an entry: these lapse while the store is down.
+        A server that accepts connections may keep running without an entry: entries expire while
+        the store is down.
         """
         if broken.listens:
             return self._routing_state.is_replaced(broken.server)
--- a/packages/fleet/src/endivesaddle/fleet/routes/forwarded.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/forwarded.py
@@ -85,10 +85,10 @@
 
 
 class ServerCall(NamedTuple):
-    """One sending of a request to one server.
+    """One attempt of a request at one server.
 
     ``last_event`` is the number of the last event that the caller has, -1 for none;
-    ``may_send`` tells whether the server takes requests at that moment.
+    ``may_send`` returns whether the server accepts requests when it is called.
     """
 
     request: ForwardRequest
--- a/packages/fleet/src/endivesaddle/fleet/routes/peer_routers.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/peer_routers.py
@@ -1,8 +1,7 @@
-"""Talk with the other routers: loads, and facts while the store is away.
+"""Exchange reports with the other routers: loads, and copies of the store during an outage.
 
-One task for each neighbour.  What a neighbour says of the store's contents is
-taken only while the store does not answer here, and only where it is newer, by
-the store's own version, than what is known here.
+One task calls each peer.  What a peer reports of the store's contents is applied only while the
+store is unavailable to this router, and only if its store version is newer than this router's.
 """
 
 from collections import Counter
@@ -17,43 +16,43 @@
 from endivesaddle.fleet.routes import sidecar_events
 from endivesaddle.fleet.routes.address_backoff import AddressBackoff
 from endivesaddle.fleet.routes.declarations import DeclarationsFetch
-from endivesaddle.fleet.routes.facts import Facts
 from endivesaddle.fleet.routes.instance_directory import InstanceDirectory
 from endivesaddle.fleet.routes.leaving_servers import ANSWER
 from endivesaddle.fleet.routes.peer_updates import PeerUpdates, UpdateCursor, UpdateSources
 from endivesaddle.fleet.routes.routing_state import RoutingState, StoreStatus
+from endivesaddle.fleet.routes.store_snapshot import StoreSnapshot
 from endivesaddle.fleet.routes.store_watch import Decoder
 from endivesaddle.fleet.routing.dispatcher import Dispatcher
 from endivesaddle.fleet.routing.sent_parts import SentPart
 from endivesaddle.wire import routers_pb2, rpcs
 
-TALK_S = 0.25
-"""Between two talks with one neighbour; loads are at most so much older than a reply."""
-TALKS_PER_S = 20.0
-"""Talks of one router in all: with many routers each neighbour is asked less often."""
-LEAST_PAUSE_S = 0.02
-"""Between two talks with one neighbour, however many large prompts are sent."""
-FEW_ROUTERS = 8
-"""With more neighbours than this, large prompts are not told at once: it would cost more talks
+EXCHANGE_S = 0.25
+"""Interval between exchanges with one peer, and so the most by which loads are out of date."""
+EXCHANGES_PER_S = 20.0
+"""Exchanges that one router begins in all: with many routers, it calls each less often."""
+MIN_PAUSE_S = 0.02
+"""Least interval between exchanges with one peer, however many large prompts are sent."""
+MAX_FAST_PEERS = 8
+"""With more peers than this, large prompts are not reported at once: that would take more calls
 than a router may spend on control."""
 AGGREGATOR_POLL_S = 0.5
-"""A look at the board waits so long for news."""
-GATHER_S = 0.05
-"""What this router meets within this is told together."""
+"""Time that a poll of the aggregator waits for updates."""
+COALESCE_S = 0.05
+"""Updates that this router learns within this are sent together."""
 AGGREGATOR_POLLS_PER_S = 40.0
-"""Looks of all routers in a second that one sidecar is asked for."""
+"""Polls per second, of all routers together, that one aggregator serves."""
 AVOID_S = 2.0
 LONGEST_AVOID_S = 8.0
-"""A sidecar whose board did not answer is passed over for so long, at first and at most."""
+"""Least and greatest time for which an aggregator that did not answer is skipped."""
 REPLY_S = 0.4
-QUIET_S = 1.0
-"""After a talk that failed; a neighbour that is gone costs one try a second."""
+RETRY_S = 1.0
+"""Pause after a failed exchange, so that a lost peer costs one attempt a second."""
 STALE_S = 1.2
-"""A neighbour's loads are forgotten after this."""
+"""The loads that a peer reported expire after this."""
 
 
 class PeerRouterParts(NamedTuple):
-    """What a router has to tell and to learn."""
+    """The state that a router reports to its peers, and updates from their reports."""
 
     routing_state: RoutingState
     store_status: StoreStatus
@@ -64,12 +63,12 @@
 
 
 class PeerRouters:
-    """This router's talks with all others."""
+    """This router's exchanges with all other routers."""
 
     def __init__(
         self, parts: PeerRouterParts, peers: Peers, clock: Clock, lifetime: str, address: str
     ) -> None:
-        """Talk as ``lifetime``, reached at ``address``."""
+        """Report as ``lifetime``, which peers reach at ``address``."""
         self._parts = parts
         self._peers = peers
         self._clock = clock
@@ -77,8 +76,8 @@
         self._address = address
         self.leaving = False
         self._avoided_aggregators = AddressBackoff(clock, AVOID_S, LONGEST_AVOID_S)
-        self._seen = 0
-        self._parts_told = parts.dispatcher.sent_parts.count
+        self._seen_report = 0
+        self._reported_parts = parts.dispatcher.sent_parts.count
         self._seen_aggregator = ''
         self._updates = PeerUpdates(
             UpdateSources(
@@ -88,21 +87,23 @@
             ),
             clock,
         )
-        self._news_seen = routers_pb2.NewsMark()
+        self._seen_updates = routers_pb2.NewsMark()
         self._aggregator_cursor = UpdateCursor()
-        self._own_news = anyio.Event()
-        parts.dispatcher.crashes.listeners.append(self._met)
-        parts.routing_state.leaving_servers.listeners.append(self._met)
-        parts.routing_state.limits.listeners.append(self._met)
+        self._own_updates = anyio.Event()
+        parts.dispatcher.crashes.listeners.append(self._note_update)
+        parts.routing_state.leaving_servers.listeners.append(self._note_update)
+        parts.routing_state.limits.listeners.append(self._note_update)
         self._leaving: set[str] = set()
-        self._facts = Facts(parts.routing_state, parts.store_status, parts.directory, clock)
+        self._store_snapshot = StoreSnapshot(
+            parts.routing_state, parts.store_status, parts.directory, clock
+        )
         self._declarations = DeclarationsFetch(
             parts.routing_state, parts.store_status, parts.decoder
         )
-        self._large = anyio.Event()
-        parts.dispatcher.large_prompt_listeners.append(self._sent_large)
-        self._talking: dict[str, anyio.CancelScope] = {}
-        self._lanes: dict[str, tuple[float, tuple[routers_pb2.LaneWord, ...]]] = {}
+        self._large_prompt = anyio.Event()
+        parts.dispatcher.large_prompt_listeners.append(self._notify_large_prompt)
+        self._exchanges: dict[str, anyio.CancelScope] = {}
+        self._peer_loads: dict[str, tuple[float, tuple[routers_pb2.LaneWord, ...]]] = {}
 
     def register(self, handlers: Handlers) -> None:
         """Answer the other routers' calls."""
@@ -110,30 +111,30 @@
         self._declarations.register(handlers)
 
     async def run(self) -> None:
-        """Talk with each router that is known, until cancelled."""
+        """Exchange reports with each known router until cancelled."""
         async with anyio.create_task_group() as group:
             group.start_soon(self._poll_aggregator)
             group.start_soon(self._notify_aggregator)
             while True:
                 addresses = self._addresses()
-                for address in addresses - self._talking.keys():
-                    self._talking[address] = anyio.CancelScope()
-                    group.start_soon(self._talk, address)
-                for address in self._talking.keys() - addresses:
-                    self._talking.pop(address).cancel()
+                for address in addresses - self._exchanges.keys():
+                    self._exchanges[address] = anyio.CancelScope()
+                    group.start_soon(self._exchange_with, address)
+                for address in self._exchanges.keys() - addresses:
+                    self._exchanges.pop(address).cancel()
                 self._count_routers()
-                self._sum_up()
-                await anyio.sleep(TALK_S)
+                self._apply_peer_loads()
+                await anyio.sleep(EXCHANGE_S)
 
     def others_stay(self) -> bool:
-        """Tell whether another router was heard just now, and does not stop."""
-        return bool(self._lanes.keys() - self._leaving)
+        """Tell whether another router reported recently and is not stopping."""
+        return bool(self._peer_loads.keys() - self._leaving)
 
     def _addresses(self) -> set[str]:
-        away = (
+        outage = (
             self._parts.store_status.unavailable or self._parts.routing_state.declarations is None
         )
-        if self._aggregator_address() and not away:
+        if self._aggregator_address() and not outage:
             return set()
         addresses = set(self._parts.directory.others.values())
         if not addresses or self._parts.routing_state.declarations is None:
@@ -148,31 +149,31 @@
         )
 
     async def _poll_aggregator(self) -> None:
-        """With many routers, leave words on a sidecar's board instead of talking with each."""
-        look_unix_s = 0.0
+        """With many routers, exchange reports through an aggregator instead of calling each."""
+        poll_unix_s = 0.0
         while True:
             now_unix_s = self._clock.now_s()
-            if look_unix_s <= now_unix_s:
+            if poll_unix_s <= now_unix_s:
                 routers = len(self._parts.directory.others) + 1
-                look_unix_s = now_unix_s + max(AGGREGATOR_POLL_S, routers / AGGREGATOR_POLLS_PER_S)
-            wait_s = look_unix_s - now_unix_s
+                poll_unix_s = now_unix_s + max(AGGREGATOR_POLL_S, routers / AGGREGATOR_POLLS_PER_S)
+            wait_s = poll_unix_s - now_unix_s
             address = self._aggregator_address()
-            if not address or not await self._exchange(address, wait_s):
+            if not address or not await self._exchange_reports(address, wait_s):
                 await anyio.sleep(AGGREGATOR_POLL_S)
 
     async def _notify_aggregator(self) -> None:
-        """Tell at once what this router met itself: others act on it within a second."""
+        """Send this router's own updates at once, so that others act on them within a second."""
         while True:
-            await self._own_news.wait()
-            await anyio.sleep(GATHER_S)
-            self._own_news = anyio.Event()
+            await self._own_updates.wait()
+            await anyio.sleep(COALESCE_S)
+            self._own_updates = anyio.Event()
             address = self._aggregator_address()
             if address:
-                await self._exchange(address, 0)
+                await self._exchange_reports(address, 0)
 
-    def _met(self, _: str, source: str = ANSWER) -> None:
+    def _note_update(self, _: str, source: str = ANSWER) -> None:
         if source == ANSWER:
-            self._own_news.set()
+            self._own_updates.set()
 
     def _aggregator_address(self) -> str:
         return next(
@@ -184,9 +185,12 @@
             '',
         )
 
-    async def _exchange(self, address: str, wait_s: float) -> bool:
-        """Leave a word, and take those of others, waiting for news; False without an answer."""
-        told = self._parts.dispatcher.sent_parts.count
+    async def _exchange_reports(self, address: str, wait_s: float) -> bool:
+        """Exchange reports through the aggregator; return False if it does not answer.
+
+        The call waits up to ``wait_s`` for updates.
+        """
+        reported_parts = self._parts.dispatcher.sent_parts.count
         request = self._aggregator_request(wait_s)
         deadline_unix_s = self._clock.now_s() + wait_s + REPLY_S
         try:
@@ -196,73 +200,73 @@
             self._avoided_aggregators.record_failure(address)
             return False
         self._avoided_aggregators.record_success(address)
-        self._parts_told = max(self._parts_told, told)
-        self._aggregator_cursor.took(reply.lifetime, request.word.news.mark)
+        self._reported_parts = max(self._reported_parts, reported_parts)
+        self._aggregator_cursor.record_received(reply.lifetime, request.word.news.mark)
         self._updates.merge(reply.news, address)
-        self._news_seen = reply.news.mark
-        for heard in reply.words:
-            self._hear(heard)
-        self._sum_up()
-        self._seen = reply.number
+        self._seen_updates = reply.news.mark
+        for report in reply.words:
+            self._merge_report(report)
+        self._apply_peer_loads()
+        self._seen_report = reply.number
         self._seen_aggregator = reply.lifetime
         return True
 
     def _aggregator_request(self, wait_s: float) -> routers_pb2.BoardRequest:
-        word = self._word()
+        report = self._report()
         sent_parts = self._parts.dispatcher.sent_parts
-        word.parts.extend(_parts_words(sent_parts.since(self._parts_told)))
-        word.news.CopyFrom(self._updates.since(self._aggregator_cursor.mark))
+        report.parts.extend(_parts_messages(sent_parts.since(self._reported_parts)))
+        report.news.CopyFrom(self._updates.since(self._aggregator_cursor.mark))
         return routers_pb2.BoardRequest(
-            word=word,
-            seen=self._seen,
+            word=report,
+            seen=self._seen_report,
             board=self._seen_aggregator,
-            news_seen=self._news_seen,
+            news_seen=self._seen_updates,
             wait_s=wait_s,
             news_only=not wait_s,
         )
 
-    async def _talk(self, address: str) -> None:
+    async def _exchange_with(self, address: str) -> None:
         sent_parts = self._parts.dispatcher.sent_parts
-        told = sent_parts.count
-        reader = UpdateCursor()
-        with self._talking[address]:
+        reported_parts = sent_parts.count
+        cursor = UpdateCursor()
+        with self._exchanges[address]:
             while True:
-                word = self._word()
-                word.parts.extend(_parts_words(sent_parts.since(told)))
-                told = sent_parts.count
-                word.news.CopyFrom(self._updates.since(reader.mark))
+                report = self._report()
+                report.parts.extend(_parts_messages(sent_parts.since(reported_parts)))
+                reported_parts = sent_parts.count
+                report.news.CopyFrom(self._updates.since(cursor.mark))
                 try:
                     reply = await self._peers.call(
-                        address, rpcs.WORD, word, self._clock.now_s() + REPLY_S
+                        address, rpcs.WORD, report, self._clock.now_s() + REPLY_S
                     )
                 except (FleetError, TimeoutError):
-                    # A neighbour that is gone leaves the roster by its lease; until then
-                    # each failure says no more than the one before.
-                    await anyio.sleep(QUIET_S)
+                    # A lost peer leaves the directory when its lease expires; until then
+                    # logging each failure would add nothing.
+                    await anyio.sleep(RETRY_S)
                     continue
-                reader.took(reply.word.lifetime, word.news.mark)
-                self._hear(reply.word)
-                self._sum_up()
-                self._facts.learn(reply, address)
+                cursor.record_received(reply.word.lifetime, report.news.mark)
+                self._merge_report(reply.word)
+                self._apply_peer_loads()
+                self._store_snapshot.merge(reply, address)
                 await self._declarations.fetch(
                     address, reply.word.version, self._peers, self._clock
                 )
                 await self._pause()
 
     async def _pause(self) -> None:
-        """Wait for the next talk; a large prompt that is sent here ends the wait."""
-        if len(self._talking) > FEW_ROUTERS:
-            await anyio.sleep(max(TALK_S, len(self._talking) / TALKS_PER_S))
+        """Wait until the next exchange; a large prompt sent by this router ends the wait."""
+        if len(self._exchanges) > MAX_FAST_PEERS:
+            await anyio.sleep(max(EXCHANGE_S, len(self._exchanges) / EXCHANGES_PER_S))
             return
-        await anyio.sleep(LEAST_PAUSE_S)
-        with anyio.move_on_after(TALK_S - LEAST_PAUSE_S):
-            await self._large.wait()
+        await anyio.sleep(MIN_PAUSE_S)
+        with anyio.move_on_after(EXCHANGE_S - MIN_PAUSE_S):
+            await self._large_prompt.wait()
 
-    def _sent_large(self) -> None:
-        self._large.set()
-        self._large = anyio.Event()
+    def _notify_large_prompt(self) -> None:
+        self._large_prompt.set()
+        self._large_prompt = anyio.Event()
 
-    def _word(self) -> routers_pb2.Word:
+    def _report(self) -> routers_pb2.Word:
         parts = self._parts
         return routers_pb2.Word(
             lifetime=self._lifetime,
@@ -271,47 +275,49 @@
             if parts.routing_state.declarations
             else 0,
             store_age_s=parts.store_status.age_s,
-            lanes=_lane_words(parts.dispatcher),
-            wants_facts=self._facts.wanted,
+            lanes=_load_messages(parts.dispatcher),
+            wants_facts=self._store_snapshot.wanted,
             leaving=self.leaving,
         )
 
-    async def _answer(self, asked: routers_pb2.Word) -> routers_pb2.WordReply:
-        self._hear(asked)
-        self._sum_up()
-        reply = routers_pb2.WordReply(word=self._word())
-        if asked.wants_facts:
-            self._facts.tell(reply)
+    async def _answer(self, report: routers_pb2.Word) -> routers_pb2.WordReply:
+        self._merge_report(report)
+        self._apply_peer_loads()
+        reply = routers_pb2.WordReply(word=self._report())
+        if report.wants_facts:
+            self._store_snapshot.add_to(reply)
         return reply
 
-    def _hear(self, word: routers_pb2.Word) -> None:
-        self._parts.directory.note_call(word.lifetime, word.address)
-        if word.leaving:
-            self._leaving.add(word.lifetime)
-        self._lanes[word.lifetime] = (self._clock.now_s(), tuple(word.lanes))
-        self._updates.merge(word.news, word.address)
-        for sent in word.parts:
+    def _merge_report(self, report: routers_pb2.Word) -> None:
+        self._parts.directory.note_call(report.lifetime, report.address)
+        if report.leaving:
+            self._leaving.add(report.lifetime)
+        self._peer_loads[report.lifetime] = (self._clock.now_s(), tuple(report.lanes))
+        self._updates.merge(report.news, report.address)
+        for sent in report.parts:
             backend = self._parts.dispatcher.backends.find(sent.server)
             if backend is not None:
                 backend.add_parts(sent.parts, self._clock.now_s())
 
-    def _sum_up(self) -> None:
-        """Add up what the neighbours have under way at each server."""
+    def _apply_peer_loads(self) -> None:
+        """Sum up the requests and tokens that the peers have in flight at each server."""
         oldest_unix_s = self._clock.now_s() - STALE_S
-        self._lanes = {name: told for name, told in self._lanes.items() if told[0] >= oldest_unix_s}
+        self._peer_loads = {
+            name: loads for name, loads in self._peer_loads.items() if loads[0] >= oldest_unix_s
+        }
         requests: Counter[str] = Counter()
         tokens: Counter[str] = Counter()
-        for _, lanes in self._lanes.values():
-            for word in lanes:
-                requests[word.server] += word.in_flight
-                tokens[word.server] += word.reading_tokens
+        for _, loads in self._peer_loads.values():
+            for load in loads:
+                requests[load.server] += load.in_flight
+                tokens[load.server] += load.reading_tokens
         self._parts.dispatcher.backends.apply_reports(
             {server: (count, tokens[server]) for server, count in requests.items()},
             self._clock.now_s(),
         )
 
 
-def _lane_words(dispatcher: Dispatcher) -> Iterable[routers_pb2.LaneWord]:
+def _load_messages(dispatcher: Dispatcher) -> Iterable[routers_pb2.LaneWord]:
     for backend in dispatcher.backends.all():
         if backend.own_in_flight:
             yield routers_pb2.LaneWord(
@@ -321,7 +327,7 @@
             )
 
 
-def _parts_words(sent: Iterable[SentPart]) -> Iterable[routers_pb2.PartsWord]:
+def _parts_messages(sent: Iterable[SentPart]) -> Iterable[routers_pb2.PartsWord]:
     by_server: dict[str, list[str]] = {}
     for one in sent:
         by_server.setdefault(one.server, []).append(one.part)
--- a/packages/fleet/src/endivesaddle/fleet/routes/peer_updates.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/peer_updates.py
@@ -1,8 +1,8 @@
-"""News of servers and requests that instances tell each other, whatever the store does.
+"""Updates on servers and requests that instances send each other, independent of the store.
 
-They come from answers and broken runs, and concern all routers: a server that leaves or names a
-limit, a request that ends servers.  Each reader is told what it lacks, its next life all anew; what
-is told twice or late changes nothing.
+They are learned from responses and broken runs and concern all routers: a server that leaves or
+advertises a limit, a request that crashes servers.  Each peer is sent what it lacks, and everything
+again after it restarted.  Updates that arrive twice or late have no effect.
 """
 
 from collections.abc import Iterable
@@ -16,70 +16,70 @@
 from endivesaddle.fleet.routing.crash_records import CrashRecord, CrashRecords, EndedRun
 from endivesaddle.wire import routers_pb2
 
-MOST_CRASHES = 64
-"""Records in one word, some 4 KB: what ran at one server when it ended. The rest goes with the
-next word."""
+MAX_CRASHES = 64
+"""Crash records in one message, about 4 KB: as many as run at one server when it crashes.  The
+rest follows with the next message."""
 
 
 class UpdateSources(NamedTuple):
-    """What one instance believes that it tells others, and takes from them."""
+    """The records of one instance that updates are read from and merged into."""
 
     crashes: CrashRecords
-    left: LeavingServers
+    leaving: LeavingServers
     limits: AdvertisedLimits
 
 
 class PeerUpdates:
-    """What one instance knows, as it tells it to others and hears it from them."""
+    """The updates that one instance sends to its peers and receives from them."""
 
     def __init__(self, sources: UpdateSources, clock: Clock) -> None:
-        """Tell what the sources hold, and add to them."""
+        """Send what ``sources`` hold, and merge received updates into them."""
         self._crashes = sources.crashes
-        self._left = sources.left
+        self._leaving = sources.leaving
         self._limits = sources.limits
         self._clock = clock
         self._changed = anyio.Event()
 
-    def lacks(self, mark: routers_pb2.NewsMark) -> bool:
-        """Tell whether a reader with this mark lacks any."""
-        lacks_servers = mark.left < self._left.count or mark.limits < self._limits.count
-        return lacks_servers or bool(self._crashes.since(mark.crashes, 1))
+    def has_updates_after(self, mark: routers_pb2.NewsMark) -> bool:
+        """Tell whether there are updates after ``mark``."""
+        server_updates = mark.left < self._leaving.count or mark.limits < self._limits.count
+        return server_updates or bool(self._crashes.since(mark.crashes, 1))
 
     async def changed(self) -> None:
-        """Wait until another instance has told something new."""
+        """Wait until an update of another instance changed the records."""
         await self._changed.wait()
 
     def since(self, mark: routers_pb2.NewsMark) -> routers_pb2.News:
-        """Return what came after a reader's mark, with the next mark."""
+        """Return the updates after ``mark``, with the next mark."""
         news = routers_pb2.News(mark=mark)
-        crashes = self._crashes.since(mark.crashes, MOST_CRASHES)
+        crashes = self._crashes.since(mark.crashes, MAX_CRASHES)
         if crashes:
-            news.crashes.extend(self._crash_words(crashes))
+            news.crashes.extend(self._crash_messages(crashes))
             news.mark.crashes = crashes[-1].number
-        news.left.extend(_left_words(self._left.since(mark.left)))
-        news.mark.left = self._left.count
-        news.limits.extend(self._limit_words(mark.limits))
+        news.left.extend(_leaving_messages(self._leaving.since(mark.left)))
+        news.mark.left = self._leaving.count
+        news.limits.extend(self._limit_messages(mark.limits))
         news.mark.limits = self._limits.count
         return news
 
     def merge(self, news: routers_pb2.News, source: str) -> None:
-        """Take in what another instance told."""
+        """Merge the updates of another instance, named by ``source``."""
         now_unix_s = self._clock.now_s()
         before = self._counts()
-        for word in news.crashes:
-            told = CrashRecord(
-                word.digest,
+        for crash in news.crashes:
+            received = CrashRecord(
+                crash.digest,
                 {
-                    life: EndedRun(run.began_unix_s, run.broke_unix_s)
-                    for life, run in word.ended.items()
+                    incarnation: EndedRun(run.began_unix_s, run.broke_unix_s)
+                    for incarnation, run in crash.ended.items()
                 },
-                frozenset(word.answered),
-                now_unix_s + word.held_s if word.held_s > 0 else 0.0,
-                word.tries,
+                frozenset(crash.answered),
+                now_unix_s + crash.held_s if crash.held_s > 0 else 0.0,
+                crash.tries,
             )
-            self._crashes.merge(told, now_unix_s, source)
+            self._crashes.merge(received, now_unix_s, source)
         for left in news.left:
-            self._left.add(LeavingIncarnation(left.lifetime, left.born_unix_ms), source)
+            self._leaving.add(LeavingIncarnation(left.lifetime, left.born_unix_ms), source)
         for limit in news.limits:
             observed_unix_s = now_unix_s - max(0.0, limit.age_s)
             self._limits.merge(AdvertisedLimit(limit.life, limit.per_s, observed_unix_s), source)
@@ -88,20 +88,21 @@
             self._changed = anyio.Event()
 
     def _counts(self) -> tuple[int, int, int]:
-        return self._crashes.number, self._left.count, self._limits.count
+        return self._crashes.number, self._leaving.count, self._limits.count
 
-    def _limit_words(self, number: int) -> Iterable[routers_pb2.LimitWord]:
+    def _limit_messages(self, number: int) -> Iterable[routers_pb2.LimitWord]:
         now_unix_s = self._clock.now_s()
         for limit in self._limits.since(number):
             yield routers_pb2.LimitWord(
                 life=limit.life, per_s=limit.per_s, age_s=now_unix_s - limit.observed_unix_s
             )
 
-    def _crash_words(self, records: Iterable[CrashRecord]) -> Iterable[routers_pb2.CrashWord]:
+    def _crash_messages(self, records: Iterable[CrashRecord]) -> Iterable[routers_pb2.CrashWord]:
         now_unix_s = self._clock.now_s()
         for record in records:
             ended = {
-                life: routers_pb2.EndedRun(**run._asdict()) for life, run in record.ended.items()
+                incarnation: routers_pb2.EndedRun(**run._asdict())
+                for incarnation, run in record.ended.items()
             }
             yield routers_pb2.CrashWord(
                 digest=record.digest,
@@ -113,23 +114,23 @@
 
 
 class UpdateCursor:
-    """How far one other instance has been told; its next life is told all anew."""
+    """The updates that one peer has received; after a restart it is sent all again."""
 
     def __init__(self) -> None:
-        """Start with nothing told."""
+        """Initialize for a peer that has received nothing."""
         self.mark = routers_pb2.NewsMark()
         self._lifetime = ''
 
-    def took(self, lifetime: str, mark: routers_pb2.NewsMark) -> None:
-        """Note that the reader, in this life, took in news up to a mark."""
+    def record_received(self, lifetime: str, mark: routers_pb2.NewsMark) -> None:
+        """Record that the peer, in incarnation ``lifetime``, received updates up to ``mark``."""
         if self._lifetime in {'', lifetime}:
             self.mark = mark
         else:
-            # Another life answered than was told before: it lacks what came earlier.
+            # The peer has restarted since the last message: it lacks the earlier updates.
             self.mark = routers_pb2.NewsMark()
         self._lifetime = lifetime
 
 
-def _left_words(lives: Iterable[LeavingIncarnation]) -> Iterable[routers_pb2.LeftWord]:
-    for life in lives:
-        yield routers_pb2.LeftWord(lifetime=life.lifetime, born_unix_ms=life.born_unix_ms)
+def _leaving_messages(incarnations: Iterable[LeavingIncarnation]) -> Iterable[routers_pb2.LeftWord]:
+    for leaving in incarnations:
+        yield routers_pb2.LeftWord(lifetime=leaving.lifetime, born_unix_ms=leaving.born_unix_ms)
--- a/packages/fleet/src/endivesaddle/fleet/routes/report_aggregator.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/report_aggregator.py
@@ -1,8 +1,8 @@
-"""A board at a sidecar, on which routers leave words for all others.
+"""An aggregator at a sidecar that collects the reports of routers and hands them to all others.
 
-Load pattern: many routers.  Each talking with each other, their calls grow with the square of
-their number.  A call may wait at the board, and is answered as soon as there are news that the
-asker lacks.
+Load pattern: many routers.  If every router called every other, the number of calls would grow with
+the square of the number of routers.  A call to the aggregator may wait, and is answered as soon as
+there are updates that the caller lacks.
 """
 
 from collections import deque
@@ -19,36 +19,37 @@
 from endivesaddle.fleet.routing.crash_records import CrashRecords
 from endivesaddle.fleet.routing.forward_settings import ForwardSettings
 from endivesaddle.wire import rpcs
-from endivesaddle.wire.routers_pb2 import BoardReply, BoardRequest, NewsMark, Word
-
-GATHER_S = 0.05
-"""News that come within this are told together: a server that ends has them for many requests."""
-ANSWERS_PER_S = 1000.0
-"""Waiting routers that are answered in a second at most, however often there are news."""
-LONGEST_WAIT_S = 15.0
+from endivesaddle.wire.routers_pb2 import BoardReply, BoardRequest, NewsMark
+from endivesaddle.wire.routers_pb2 import Word as RouterReport
+
+COALESCE_S = 0.05
+"""Updates that arrive within this are sent together: a server that crashes causes many at once."""
+MAX_ANSWERS_PER_S = 1000.0
+"""Limit on answers to waiting routers per second, however often there are updates."""
+MAX_WAIT_S = 15.0
 KEPT_S = 2.0
-"""Words are kept for so long; a router that asks less often misses some, as by a lost call."""
+"""Retention of reports; a router that polls less often misses some, as it does by a lost call."""
 
 
-class _Left(NamedTuple):
-    """A word that was left, its number, and until when it is kept."""
+class _StoredReport(NamedTuple):
+    """A stored report, its number, and until when it is kept."""
 
     number: int
-    word: Word
+    report: RouterReport
     until_unix_s: float
 
 
 class ReportAggregator:
-    """The words that routers left lately."""
+    """The recent reports of all routers."""
 
     def __init__(self, clock: Clock, lifetime: str) -> None:
-        """Start without words."""
+        """Initialize without reports; ``lifetime`` identifies this aggregator to routers."""
         self._clock = clock
         self._lifetime = lifetime
         self._number = 0
         self._waiting = 0
-        self._left: deque[_Left] = deque()
-        # Kept as long as by a router: those that start again are told all.
+        self._reports: deque[_StoredReport] = deque()
+        # Kept as long as at a router, so that routers that restart are sent all of them.
         self._updates = PeerUpdates(
             UpdateSources(CrashRecords(ForwardSettings()), LeavingServers(), AdvertisedLimits()),
             clock,
@@ -58,61 +59,63 @@
         """Answer the routers' calls."""
         handlers.answer(rpcs.BOARD, self.exchange)
 
-    async def exchange(self, asked: BoardRequest) -> BoardReply:
-        """Take in a router's word; tell it news at once, else the others' words after its wait.
+    async def exchange(self, request: BoardRequest) -> BoardReply:
+        """Store a router's report; return updates at once, or the others' reports after its wait.
 
-        Of each router's words the newest tells its loads; shared parts are told of all of them.
+        Of several reports of a router, the newest gives its loads; the shared prompt parts of all
+        of them are returned.
         """
-        same = asked.board == self._lifetime
-        self._updates.merge(asked.word.news, asked.word.address)
-        # They are told from here on, so that they need not go with the word as well.
-        asked.word.ClearField('news')
-        self._leave(asked.word)
-        news_seen = asked.news_seen if same else NewsMark()
-        seen = asked.seen if same else 0
+        same_incarnation = request.board == self._lifetime
+        self._updates.merge(request.word.news, request.word.address)
+        # From here on the aggregator sends them itself, so the stored report need not hold them.
+        request.word.ClearField('news')
+        self._store(request.word)
+        news_seen = request.news_seen if same_incarnation else NewsMark()
+        seen = request.seen if same_incarnation else 0
         reply = BoardReply(lifetime=self._lifetime, number=seen)
-        # With news alone: all are answered at once, and each would be told the words of all.
-        heard = asked.wait_s and await self._heard(news_seen, asked.wait_s)
-        if not heard and not asked.news_only:
-            reply.words.extend(self._since(seen, asked.word.lifetime))
+        # Updates are returned without reports: all waiting routers are answered at once, and each
+        # answer would hold the reports of all.
+        updated = request.wait_s and await self._wait_for_updates(news_seen, request.wait_s)
+        if not updated and not request.news_only:
+            reply.words.extend(self._since(seen, request.word.lifetime))
             reply.number = self._number
         reply.news.CopyFrom(self._updates.since(news_seen))
         return reply
 
-    def _since(self, seen: int, lifetime: str) -> Iterable[Word]:
-        """Return the words that others left after the number ``seen``, one for each router."""
-        words: dict[str, Word] = {}
-        for left in self._left:
-            if left.number > seen and left.word.lifetime != lifetime:
-                _merge(words, left.word)
-        return words.values()
+    def _since(self, seen: int, lifetime: str) -> Iterable[RouterReport]:
+        """Return the reports of others after the number ``seen``, one for each router."""
+        reports: dict[str, RouterReport] = {}
+        for stored in self._reports:
+            if stored.number > seen and stored.report.lifetime != lifetime:
+                _merge(reports, stored.report)
+        return reports.values()
 
-    def _leave(self, word: Word) -> None:
-        """Keep a word for a while, and forget old ones."""
+    def _store(self, report: RouterReport) -> None:
+        """Store a report, and drop expired ones."""
         now_unix_s = self._clock.now_s()
-        while self._left and self._left[0].until_unix_s <= now_unix_s:
-            self._left.popleft()
+        while self._reports and self._reports[0].until_unix_s <= now_unix_s:
+            self._reports.popleft()
         self._number += 1
-        self._left.append(_Left(self._number, word, now_unix_s + KEPT_S))
+        self._reports.append(_StoredReport(self._number, report, now_unix_s + KEPT_S))
 
-    async def _heard(self, seen: NewsMark, wait_s: float) -> bool:
-        """Wait for news that a reader lacks; False if there are none within ``wait_s``."""
+    async def _wait_for_updates(self, seen: NewsMark, wait_s: float) -> bool:
+        """Wait for updates after ``seen``; return False if there are none within ``wait_s``."""
         self._waiting += 1
         try:
-            with anyio.move_on_after(min(wait_s, LONGEST_WAIT_S)):
-                while not self._updates.lacks(seen):
+            with anyio.move_on_after(min(wait_s, MAX_WAIT_S)):
+                while not self._updates.has_updates_after(seen):
                     await self._updates.changed()
-                    await anyio.sleep(max(GATHER_S, self._waiting / ANSWERS_PER_S))
+                    await anyio.sleep(max(COALESCE_S, self._waiting / MAX_ANSWERS_PER_S))
                 return True
         finally:
             self._waiting -= 1
         return False
 
 
-def _merge(words: dict[str, Word], word: Word) -> None:
-    merged = Word()
-    merged.CopyFrom(word)
-    before = words.pop(word.lifetime, None)
+def _merge(reports: dict[str, RouterReport], report: RouterReport) -> None:
+    merged = RouterReport()
+    merged.CopyFrom(report)
+    before = reports.pop(report.lifetime, None)
     if before is not None:
         merged.parts.extend(before.parts)
-    words[word.lifetime] = merged
+    reports[report.lifetime] = merged
--- a/packages/fleet/src/endivesaddle/fleet/routes/facts.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/store_snapshot.py
@@ -1,6 +1,6 @@
-"""Facts of the store that routers tell each other, for those that it does not answer.
+"""Copies of the store's contents that routers send each other during an outage.
 
-Each has the version of the store up to which it is known, so that an older one changes nothing.
+Each copy has the store version as of which it is complete, so that an older one has no effect.
 """
 
 from endivesaddle.fleet.clock import Clock
@@ -11,11 +11,11 @@
 from endivesaddle.wire import routers_pb2
 
 FRESH_S = 2.5
-"""A router tells others of the servers if it heard of them from the store this lately."""
+"""A router sends others its server list if it read it from the store within this time."""
 
 
-class Facts:
-    """What one router tells of the store, and learns from others."""
+class StoreSnapshot:
+    """The contents of the store, as one router sends them to others and learns them from others."""
 
     def __init__(
         self,
@@ -24,7 +24,7 @@
         directory: InstanceDirectory,
         clock: Clock,
     ) -> None:
-        """Tell what ``routing_state`` and ``directory`` hold, and add to them."""
+        """Send what ``routing_state`` and ``directory`` hold, and merge what others send."""
         self._routing_state = routing_state
         self._store_status = store_status
         self._directory = directory
@@ -32,11 +32,11 @@
 
     @property
     def wanted(self) -> bool:
-        """Whether this router needs to be told."""
+        """Whether this router needs copies from others."""
         return self._store_status.unavailable or self._routing_state.declarations is None
 
-    def tell(self, reply: routers_pb2.WordReply) -> None:
-        """Add what is known here to a reply."""
+    def add_to(self, reply: routers_pb2.WordReply) -> None:
+        """Add this router's copy to a reply."""
         routing_state = self._routing_state
         now_unix_s = self._clock.now_s()
         reply.sidecars.extend(self._directory.sidecars)
@@ -51,12 +51,12 @@
                 _server_message(server, now_unix_s) for server in routing_state.servers.values()
             )
 
-    def learn(self, reply: routers_pb2.WordReply, address: str) -> None:
-        """Take in what the router at ``address`` told, as far as it is newer."""
+    def merge(self, reply: routers_pb2.WordReply, address: str) -> None:
+        """Merge the copy of the router at ``address``, as far as it is newer."""
         routing_state = self._routing_state
         now_unix_s = self._clock.now_s()
         if not self._directory.sidecars:
-            # A router that starts while it is cut off learns of them here alone.
+            # A router that starts during an outage learns of the sidecars only here.
             self._directory.sidecars = tuple(reply.sidecars)
         if reply.evacuations_told:
             version = reply.evacuations_version
