--- a/features/shares.feature
+++ b/features/shares.feature
@@ -1,49 +1,49 @@
-Feature: Shares of prepaid totals
-  Each router spends within what the store has on record for it, and nothing else.
+Feature: Prepaid totals that several routers share
+  Each router spends only from what the store has on record for it.
 
-  Scenario: Nothing is spent beyond the total, whoever is killed and whatever is lost
-    All routers are killed again and again in the midst of work, the store is away around it, and
-    answers to writes are lost.  What a dead router was granted counts as spent: had the
-    next ones taken it for free, the caller's account would be overdrawn.
+  Scenario: Kills, outages and lost answers never overspend the total
+    All routers are killed repeatedly during work, the store is unavailable at times, and answers
+    to writes are lost.  What a killed router was granted counts as spent: if the next routers
+    treated it as free, the caller's account would be overdrawn.
     Given 4 routers that share a total of 200000 tokens
     When they spend at random for 40 seconds, with kills, outages and lost answers
     Then at most 200000 tokens are spent
     And the store never had more than 200000 tokens granted
 
-  Scenario: An outage refuses nobody whose use stays the same
-    All routers lose the store for 8 seconds.  Each caller meets one router, which has to have
-    enough ahead by then; with a share that was even, the busy router ran dry.
+  Scenario: An outage causes no refusals for an account with steady use
+    All routers lose the store for 8 seconds.  Each caller uses one router, which needs enough
+    headroom by then; when routers had equal shares, the busy router ran out.
     Given 4 routers that share a total of 1000000 tokens
     When router 0 spends 2000 tokens 10 times a second for 10 seconds
-    And the store is away
+    And the store is unavailable
     And router 0 spends 2000 tokens 10 times a second for 8 seconds
     Then no request was refused
 
-  Scenario: A router that ran dry in an outage gets what others hold
+  Scenario: A router that runs out during an outage gets what others hold
     Given 4 routers that share a total of 1000000 tokens
     When router 1 spends 2000 tokens 10 times a second for 10 seconds
-    And the store is away
+    And the store is unavailable
     And router 0 spends 2000 tokens 10 times a second for 5 seconds
     Then no request was refused
     And at most 1000000 tokens are spent
 
-  Scenario: The last tokens are reachable
-    One caller uses a whole total through one router, while others hold headroom for it.
+  Scenario: The last tokens of a total can be used
+    One caller uses a whole total through one router, while other routers hold headroom for it.
     Given 4 routers that share a total of 100000 tokens
     When router 0 spends 1000 tokens 5 times a second for 24 seconds
     Then at least 97000 tokens are spent
     And at most 100000 tokens are spent
 
-  Scenario: A raised total is used at once
+  Scenario: A raised total can be used at once
     Given 2 routers that share a total of 10000 tokens
     When router 0 spends 1000 tokens 5 times a second for 4 seconds
     And the total is raised to 20000 tokens
     And router 0 spends 1000 tokens 5 times a second for 1 seconds
     Then at least 14000 tokens are spent
 
-  Scenario: Kills strand a bounded part
-    All routers are killed once, 10 seconds into steady use of a thirtieth of the total a
-    second.  Their callers come back and use the rest.
+  Scenario: Kills strand a bounded part of the total
+    All routers are killed once, after 10 seconds of steady use of a thirtieth of the total per
+    second.  Their callers retry and use the rest.
     Given 4 routers that share a total of 300000 tokens
     When router 0 spends 1000 tokens 10 times a second for 10 seconds
     And all routers are killed and start anew
@@ -52,40 +52,40 @@
     And at most 300000 tokens are spent
 
   Scenario: A graceful stop strands nothing
-    All routers are stopped in turn, as for a release, again and again.  Each gives back its
-    headroom; their callers find the whole total at the next ones.
+    All routers are stopped in turn, as for a release, several times.  Each gives back its
+    headroom, so that the callers can use the whole total through the next routers.
     Given 4 routers that share a total of 300000 tokens
     When router 0 spends 1000 tokens 10 times a second for 5 seconds
     And all routers stop gracefully 4 times and start anew
     And router 0 spends 1000 tokens 10 times a second for 30 seconds
     Then at least 290000 tokens are spent
 
-  Scenario: A router that leaves gives back before its last requests end
-    A router stops gracefully with long requests in flight.  Had it given back at the very end
-    alone, a store that was slow or away by then would have left its headroom granted for good.
+  Scenario: A router that stops gives back tokens before its last requests end
+    A router stops gracefully with long requests in flight.  If it gave back its headroom only at
+    the very end, and the store were slow or unavailable then, the headroom would be lost for good.
     Given 2 routers that share a total of 300000 tokens
     When router 0 spends 1000 tokens 10 times a second for 3 seconds
     And a request of 20000 tokens stays open at router 0
-    And router 0 begins to leave
+    And router 0 begins to stop
     Then router 0 is granted what it uses and 0 tokens more
     When the open request ends after 5000 tokens
-    And 1 seconds go by at the routers
+    And 1 seconds pass at the routers
     Then router 0 is granted what it uses and 0 tokens more
 
-  Scenario: Few writes
+  Scenario: Steady use needs few writes
     Given 4 routers that share a total of 1000000 tokens
     When router 0 spends 1000 tokens 10 times a second for 30 seconds
     Then the store has seen at most 30 writes
 
-  Scenario: A request that does not fit gets an answer at once
+  Scenario: A request larger than the total is refused at once
     Given 2 routers that share a total of 10000 tokens
     When router 0 spends 20000 tokens 1 times a second for 1 seconds
     Then the last request was refused as budget_exhausted
 
-  Scenario: What dead routers held is not waited for
-    All routers are killed early in the day.  Late in it the rest of the total is used up, but
-    for what the dead ones had been granted.  The caller is told so at once: sent away to come
-    back, it would come in vain.
+  Scenario: Requests do not wait for tokens of killed routers
+    All routers are killed early in the day.  Later the rest of the total is used up, except for
+    what the killed routers had been granted.  The request is refused for good at once: a retry
+    would be in vain.
     Given 2 routers that share a total of 100000 tokens
     When router 0 spends 1000 tokens 10 times a second for 2 seconds
     And all routers are killed and start anew
@@ -94,18 +94,18 @@
     And a request for 3000 tokens is refused as budget_exhausted
 
   Scenario: Requests that arrive together are granted by one write
-    A burst of requests of one account comes to a router that holds little for it.  Had each
-    written the record for itself, the last ones would have waited for all others, and been
-    refused with most of the total free.
+    A burst of requests of one account reaches a router that holds little for it.  If each request
+    wrote the record by itself, the last ones would wait for all others, and be refused with most
+    of the total free.
     Given 2 routers that share a total of 1000000 tokens
     When 60 requests of 12000 tokens arrive together at router 0
     Then all of them are admitted
     And they took at most 2 writes
 
   Scenario: A grant whose answer was lost is used by the next try
-    The store made the write, its answer was lost, and the caller comes back with the same
-    request.  What the router wants is on record by now; it has to write once more all the
-    same, since a write of its own that is still under way could shrink the grant later.
+    The store made the write, its answer was lost, and the caller retries the same request.  The
+    grant that the router wants is now on record; the router has to write once more all the same,
+    because one of its earlier writes that is still in flight could shrink the grant later.
     Given 1 routers that share a total of 1000000 tokens
     When the store loses the answers to 9 writes
     And a request of 400000 tokens is refused at router 0
--- a/features/steps/custody_steps.py
+++ b/features/steps/custody_steps.py
@@ -8,7 +8,7 @@
 from endivesaddle.fleet.routes.grant_group import GROUPS, PREFIX
 from endivesaddle.fleet.routes.grants import decode
 from endivesaddle.fleet.sentinels import Refusal
-from subjects.store_relay import ahead
+from subjects.store_relay import unallocated
 
 SEED = 5
 STEP_S = 0.1
@@ -20,56 +20,56 @@
 
 @when('router {router:d} is killed alone and starts anew')
 def kill(context: Any, router: int) -> None:
-    """Kill it."""
+    """Kill and restart the router."""
     context.cut.kill(router)
 
 
-@when('the router that keeps the account is killed and starts anew')
+@when('the router that owns the account is killed and starts anew')
 def kill_keeper(context: Any) -> None:
-    """Kill the one that has most tokens for others."""
-    kept = [ahead(router.allocator) for router in context.cut.routers]
+    """Kill and restart the router whose allocator has most tokens to hand out."""
+    kept = [unallocated(router.allocator) for router in context.cut.routers]
     assert max(kept) > 0, kept
     context.cut.kill(kept.index(max(kept)))
 
 
 @when('each sidecar is killed and starts anew')
 def kill_sidecars(context: Any) -> None:
-    """Kill one after the other."""
-    assert context.cut.deposited() > 0
+    """Kill and restart the sidecars one after the other."""
+    assert context.cut.held_by_sidecars() > 0
     for number, _ in enumerate(context.cut.allocators):
         context.cut.kill_sidecar(number)
 
 
 @when('each sidecar is killed and starts anew, and router {router:d} with them')
 def kill_with_router(context: Any, router: int) -> None:
-    """Kill them at one moment."""
-    context.killed_ahead = context.cut.deposited()
-    assert context.killed_ahead > 0
+    """Kill and restart them at the same time."""
+    context.killed_headroom = context.cut.held_by_sidecars()
+    assert context.killed_headroom > 0
     for number, _ in enumerate(context.cut.allocators):
         context.cut.kill_sidecar(number)
     context.cut.kill(router)
 
 
-@when('the sidecar that keeps the account is away for 1 second, and starts anew')
+@when('the sidecar that owns the account is down for 1 second, and starts anew')
 def restart_keeper(context: Any) -> None:
-    """Kill the one that has most tokens, and start it again; callers go on meanwhile."""
+    """Kill and restart the sidecar with most tokens, while requests continue."""
     _restart_keeper(context, list(range(len(context.cut.routers))))
 
 
 @when(
-    'the sidecar that keeps the account is away for 1 second while router {router:d} is idle, '
+    'the sidecar that owns the account is down for 1 second while router {router:d} is idle, '
     'and starts anew'
 )
 def restart_keeper_unseen(context: Any, router: int) -> None:
-    """Have callers go on at all other routers meanwhile."""
+    """Do the same while requests continue at all other routers."""
     busy = [number for number, _ in enumerate(context.cut.routers) if number != router]
     _restart_keeper(context, busy)
 
 
 def _restart_keeper(context: Any, busy: list[int]) -> None:
-    kept = [ahead(allocator) for allocator in context.cut.allocators]
-    context.killed_ahead = max(kept)
-    assert context.killed_ahead > 0
+    kept = [unallocated(allocator) for allocator in context.cut.allocators]
+    context.killed_headroom = max(kept)
+    assert context.killed_headroom > 0
     context.cut.lose_sidecar(kept.index(max(kept)))
     for number in range(20):
         context.cut.spend(busy[number % len(busy)], 1000)
@@ -81,7 +81,7 @@
     'all routers spend {tokens:d} tokens in turn, {times:d} times a second for {seconds:d} seconds'
 )
 def spend_in_turn(context: Any, tokens: int, times: int, seconds: int) -> None:
-    """Carry requests of one size, each at the next router."""
+    """Send requests of one size, each to the next router."""
     for number in range(times * seconds):
         context.cut.spend(number % len(context.cut.routers), tokens)
         context.cut.sleep(1 / times)
@@ -89,40 +89,40 @@
 
 @when('all routers and sidecars are killed and start anew')
 def kill_all(context: Any) -> None:
-    """Kill them at one moment."""
+    """Kill and restart them at the same time."""
     context.cut.kill_all()
 
 
-@then('the routers were listed at most {times:d} times to ask them')
+@then('the routers were listed at most {times:d} times to ask for claims')
 def listed(context: Any, times: int) -> None:
-    """Count the lists of routers alone: who looks for all instances lists the sidecars too."""
+    """Count only lists of routers alone: the instance directory lists sidecars as well."""
     assert 0 < context.cut.router_lists <= times, context.cut.router_lists
 
 
-@when('{seconds:g} seconds go by for all')
+@when('{seconds:g} seconds pass for all')
 def wait(context: Any, seconds: float) -> None:
-    """Let time pass."""
+    """Let virtual time pass."""
     context.cut.sleep(seconds)
 
 
-@then('all but a quarter of what lay ahead at the kill is spent')
+@then('all but a quarter of the headroom at the kill is spent')
 def most_spent(context: Any) -> None:
-    """Compare with the total."""
+    """Compare the stranded tokens with the headroom at the kill."""
     stranded = context.cut.total - context.cut.spent
-    assert stranded <= context.killed_ahead / 4, (stranded, context.killed_ahead)
+    assert stranded <= context.killed_headroom / 4, (stranded, context.killed_headroom)
 
 
-@when('the sidecar that keeps the account falls silent')
+@when('the sidecar that owns the account stops answering')
 def silence_keeper(context: Any) -> None:
-    """Lose the messages of the one that has most tokens."""
-    kept = [ahead(allocator) for allocator in context.cut.allocators]
+    """Lose the messages of the sidecar with most tokens."""
+    kept = [unallocated(allocator) for allocator in context.cut.allocators]
     assert max(kept) > 0, kept
     context.cut.silence(kept.index(max(kept)))
 
 
-@then('a request for {tokens:d} tokens is told to come back')
+@then('a request for {tokens:d} tokens is refused as retryable')
 def come_back(context: Any, tokens: int) -> None:
-    """Ask for so many, and look at the answer."""
+    """Send the request and check the code of its refusal."""
     refusal = context.cut.hold(0, tokens)
     assert isinstance(refusal, Refusal), refusal
     assert refusal.code == 'budget_unreachable', refusal
@@ -130,22 +130,22 @@
 
 @when('each sidecar stops gracefully')
 def stop_sidecars(context: Any) -> None:
-    """Stop one after the other."""
-    assert context.cut.deposited() > 0
+    """Stop them one after the other."""
+    assert context.cut.held_by_sidecars() > 0
     for number, _ in enumerate(context.cut.allocators):
         context.cut.stop_sidecar(number)
 
 
 @when('each router stops gracefully and starts anew')
 def stop_routers(context: Any) -> None:
-    """Stop one after the other."""
+    """Stop them one after the other."""
     for number, _ in enumerate(context.cut.routers):
         context.cut.stop(number)
 
 
 @when('the routers spend at random for {seconds:d} seconds, with kills, outages and lost answers')
 def at_random(context: Any, seconds: int) -> None:
-    """Spend from a seeded generator; faults come at fixed steps."""
+    """Spend amounts from a seeded generator; faults happen at fixed steps."""
     random = Random(SEED)
     fleet = context.cut
     context.most_held = 0
@@ -167,15 +167,15 @@
 
 
 def _held(fleet: Any) -> int:
-    """Return what is spent, and what routers and sidecars may still hand out."""
+    """Return the tokens that are spent or that routers and sidecars may still hand out."""
     shares = [share for router in fleet.routers for share in router.pools.dump().values()]
     free = sum(share['granted_tokens'] - share['spent_tokens'] for share in shares)
-    return int(fleet.spent + free + fleet.deposited() + fleet.kept_by_routers())
+    return int(fleet.spent + free + fleet.held_by_sidecars() + fleet.held_by_routers())
 
 
 @then('the store, the routers and the sidecars never had more than {tokens:d} tokens')
 def never_more(context: Any, tokens: int) -> None:
-    """Compare with the largest sum that was seen, and with the record."""
+    """Check the largest sum seen, and the sum of grants on record."""
     assert 0 < context.most_held <= tokens, context.most_held
     kept = [context.cut.store.kept(f'{PREFIX}{number}') for number in range(GROUPS)]
     granted = sum(_granted(stored.value) for stored in kept if stored and stored.value)
--- a/features/steps/shared_polls_steps.py
+++ b/features/steps/shared_polls_steps.py
@@ -11,86 +11,86 @@
 
 @given('{routers:d} routers that follow a prefix through one sidecar')
 def start(context: Any, routers: int) -> None:
-    """Start them."""
+    """Start the sidecar and the routers."""
     context.fleet = SharedFleet(routers)
     context.add_cleanup(context.fleet.close)
 
 
-@when('{seconds:d} seconds go by without changes')
+@when('{seconds:d} seconds pass without changes')
 def go_by(context: Any, seconds: int) -> None:
-    """Let time pass."""
+    """Let virtual time pass."""
     context.fleet.sleep(seconds)
 
 
 @when('a key below the prefix is written')
 def written(context: Any) -> None:
-    """Write it."""
+    """Write a key."""
     context.key = context.fleet.write()
 
 
 @when('{size:d} bytes are written below the prefix')
 def written_large(context: Any, size: int) -> None:
-    """Write them; the routers' answers are looked at from here on."""
+    """Write the bytes, after noting the routers' failures so far."""
     context.before = [router.failures for router in context.fleet.routers]
     context.key = context.fleet.write(b'x' * size)
 
 
-@when("the sidecar's store falls silent")
+@when("the sidecar's store stops answering")
 def silent(context: Any) -> None:
-    """Swallow what the sidecar asks."""
+    """Drop the answers to the sidecar's polls."""
     context.fleet.link.cut = True
 
 
 @when("the sidecar's store answers again")
 def answers(context: Any) -> None:
-    """Let everything through again."""
+    """Deliver answers again."""
     context.fleet.link.cut = False
 
 
 @when('the store drops its history while a key below the prefix is written')
 def forget(context: Any) -> None:
-    """Drop it."""
+    """Drop the history at the moment of a write."""
     context.key = context.fleet.forget_while_writing()
 
 
 @then('the store was polled at most {most:d} times')
 def polled(context: Any, most: int) -> None:
-    """Count the calls."""
+    """Check the number of polls."""
     assert 0 < context.fleet.store.calls['watch'] <= most, context.fleet.store.calls
 
 
-@then('all routers know it within {ms:d} ms')
+@then('all routers have the change within {ms:d} ms')
 def all_know(context: Any, ms: int) -> None:
-    """Wait so long and look."""
+    """Wait, and check all routers."""
     context.fleet.sleep(ms / MS_IN_S)
     lacking = [router for router in context.fleet.routers if context.key not in router.known]
     assert not lacking, len(lacking)
 
 
-@then('a router that asks from the beginning is told of it')
+@then('a router that asks from the beginning gets the change')
 def told_late(context: Any) -> None:
-    """Ask once."""
+    """Poll once."""
     assert context.key in context.fleet.late_router().known
 
 
-@then('all routers are told within {ms:d} ms that the sidecar does not know')
+@then('all routers get an error from the sidecar within {ms:d} ms')
 def told(context: Any, ms: int) -> None:
-    """Wait so long and look."""
+    """Wait, and check all routers."""
     before = [router.failures for router in context.fleet.routers]
     context.fleet.sleep(ms / MS_IN_S)
     after = [router.failures for router in context.fleet.routers]
     assert all(now > then for now, then in zip(after, before, strict=True)), (before, after)
 
 
-@then('no router is told that the sidecar does not know')
+@then('no router gets an error from the sidecar')
 def told_nothing_else(context: Any) -> None:
-    """Compare with the moment before."""
+    """Compare the failures with those before the write."""
     assert [router.failures for router in context.fleet.routers] == context.before
 
 
-@then('all routers are told that the sidecar does not know, or know the key')
+@then('all routers get an error from the sidecar, or have the key')
 def told_or_know(context: Any) -> None:
-    """Let a poll end, and look at each."""
+    """Let a poll end, and check all routers."""
     context.fleet.sleep(2)
     for router in context.fleet.routers:
         assert router.failures or context.key in router.known
--- a/features/steps/slow_own_link_steps.py
+++ b/features/steps/slow_own_link_steps.py
@@ -7,32 +7,32 @@
 from subjects.slow_own_link import SlowOwnLink
 
 
-@given('a router and {sidecars:d} sidecars, one of which keeps the account')
+@given('a router and {sidecars:d} sidecars, one of which owns the account')
 def start(context: Any, sidecars: int) -> None:
-    """Start them."""
-    context.play = SlowOwnLink(sidecars)
-    context.add_cleanup(context.play.close)
+    """Start the router and the sidecars."""
+    context.fleet = SlowOwnLink(sidecars)
+    context.add_cleanup(context.fleet.close)
 
 
 @when("the router's own calls take {delay:g} seconds for 6 seconds")
 def slow(context: Any, delay: float) -> None:
-    """Slow its link down."""
-    context.play.slow(delay)
+    """Slow the router's link down."""
+    context.fleet.slow(delay)
 
 
-@when('the keeper of the account falls silent')
+@when('the allocator of the account stops answering')
 def silence(context: Any) -> None:
-    """Cut it off."""
-    context.play.silence_keeper()
+    """Cut the allocator off from the router."""
+    context.fleet.silence_allocator()
 
 
 @when('{per_s:d} requests a second of {tokens:d} tokens come for {seconds:d} seconds')
-def come(context: Any, per_s: int, tokens: int, seconds: int) -> None:
-    """Send them."""
-    context.play.come(per_s, tokens, seconds)
+def requests_come(context: Any, per_s: int, tokens: int, seconds: int) -> None:
+    """Send the requests."""
+    context.fleet.send_requests(per_s, tokens, seconds)
 
 
-@then('at most {most:d} of them were refused for want of budget')
+@then('at most {most:d} of them are refused for lack of budget')
 def refused(context: Any, most: int) -> None:
-    """Count them."""
-    assert context.play.refused <= most, context.play.refused
+    """Check the number of refusals."""
+    assert context.fleet.refused <= most, context.fleet.refused
--- a/features/steps/store_relay_steps.py
+++ b/features/steps/store_relay_steps.py
@@ -14,7 +14,7 @@
 
 @given('{routers:d} routers and {sidecars:d} sidecars that share a total of {total:d} tokens')
 def start(context: Any, routers: int, sidecars: int, total: int) -> None:
-    """Start them."""
+    """Start the routers and sidecars."""
     context.cut = CutFleet(routers, sidecars, total)
     context.add_cleanup(context.cut.close)
     # The steps about spending are those of shares.feature.
@@ -25,70 +25,70 @@
 
 @when('the routers are cut off from the store')
 def cut(context: Any) -> None:
-    """Swallow what they send there."""
+    """Drop the routers' messages to the store."""
     context.cut.cut(True)
 
 
-@when('the cut heals')
+@when('the connection is restored')
 def heal(context: Any) -> None:
-    """Let everything through again."""
+    """Deliver messages again."""
     context.cut.cut(False)
 
 
 @when('the routers wait {seconds:d} seconds')
 def wait(context: Any, seconds: int) -> None:
-    """Let time pass."""
+    """Let virtual time pass."""
     context.cut.sleep(seconds)
 
 
-@when('sidecar {number:d} falls silent')
+@when('sidecar {number:d} stops answering')
 def silence(context: Any, number: int) -> None:
-    """Lose its messages."""
+    """Lose the sidecar's messages."""
     context.cut.silence(number)
 
 
 @when('sidecar {number:d} stops')
 def stop(context: Any, number: int) -> None:
-    """Stop it gracefully."""
-    context.cut.leave_sidecar(number)
+    """Stop the sidecar gracefully."""
+    context.cut.deregister_sidecar(number)
 
 
-@when('both sidecars fall silent')
+@when('both sidecars stop answering')
 def silence_both(context: Any) -> None:
-    """Lose the messages of both, and count from then on."""
+    """Lose the messages of both, and count failed polls from then on."""
     context.cut.silence(0)
     context.cut.silence(1)
-    context.cut.count_in_vain()
+    context.cut.count_failed_polls()
 
 
 @then('each router knows {count:d} sidecars')
 def knows(context: Any, count: int) -> None:
-    """Look at what each has on record."""
+    """Check the sidecars that each router knows."""
     assert {len(directory.sidecars) for directory in context.cut.directories} == {count}
 
 
-@then('each router followed the store in vain at most {most:d} times')
-def in_vain(context: Any, most: int) -> None:
-    """Look at the router that did so most often."""
-    assert 0 < max(context.cut.in_vain.values()) <= most, context.cut.in_vain
+@then('each router polled a silent sidecar at most {most:d} times')
+def failed_polls(context: Any, most: int) -> None:
+    """Check the router with most failed polls."""
+    assert 0 < max(context.cut.failed_polls.values()) <= most, context.cut.failed_polls
 
 
 @when('the answers of the sidecars are lost')
 def lose(context: Any) -> None:
-    """Lose their answers."""
+    """Lose the sidecars' answers."""
     context.cut.lose_replies()
 
 
-@when('the store goes down for everybody')
+@when('the store goes down for all')
 def down(context: Any) -> None:
-    """Take it away from all."""
+    """Make the store unavailable to all instances."""
     context.cut.store.fail(True)
     context.called = sum(context.cut.store.calls.values())
 
 
 @when('the routers read a key 10 times a second for {seconds:d} seconds')
 def read(context: Any, seconds: int) -> None:
-    """Read steadily."""
+    """Read at a steady rate."""
     for _ in range(int(seconds / STEP_S)):
         context.cut.read()
         context.cut.sleep(STEP_S)
@@ -96,23 +96,24 @@
 
 @then('some requests were refused')
 def some_refused(context: Any) -> None:
-    """Count them."""
+    """Check that there were refusals."""
     assert context.refused > 0
 
 
 @then('the sidecars made calls')
 def made(context: Any) -> None:
-    """Remember how many."""
+    """Check and keep the number of relayed calls."""
     context.relayed = context.cut.relayed()
     assert context.relayed > 0
 
 
 @then('the sidecars made no more calls')
 def made_no_more(context: Any) -> None:
-    """Allow for those under way when the cut healed."""
+    """Allow for calls in flight when the connection was restored."""
     more = context.cut.relayed() - context.relayed
-    # Until a router looks, within 0.8 s, it may renew its entry, look for others and follow both
-    # prefixes by the relay: four calls of each of two routers, counted as asked and as answered.
+    # Until its next probe, within 0.8 s, a router may renew its entry, list the others and poll
+    # both prefixes through the relay: four calls by each of two routers, counted as request and
+    # reply.
     assert more <= 16, more
     before = context.cut.relayed()
     context.cut.spend(0, 1)
@@ -120,35 +121,35 @@
     assert context.cut.relayed() == before
 
 
-@then('each read told that nothing was reached')
+@then('each read failed because nothing was reached')
 def unreached(context: Any) -> None:
-    """Look at each."""
+    """Check the outcome of each read."""
     assert context.cut.reads
-    assert all(isinstance(told, StoreUnreachable) for told in context.cut.reads)
+    assert all(isinstance(outcome, StoreUnreachable) for outcome in context.cut.reads)
 
 
 @then('the store was called at most {most:d} times')
 def called(context: Any, most: int) -> None:
-    """Count what reached it since it went down."""
+    """Check the number of calls since the store went down."""
     count = sum(context.cut.store.calls.values()) - context.called
     assert count <= most, count
 
 
-@then('a write through a sidecar is told as unsure, and the store has it once')
+@then('a write through a sidecar is reported as unconfirmed, and the store has it once')
 def written(context: Any) -> None:
-    """Write, and look past all faults."""
-    told = context.cut.call('router', 'swap', 'a/key', b'one', 0)
-    assert isinstance(told, StoreWriteUnconfirmed), told
+    """Write through a sidecar, and read the store directly."""
+    outcome = context.cut.call('router', 'swap', 'a/key', b'one', 0)
+    assert isinstance(outcome, StoreWriteUnconfirmed), outcome
     stored = context.cut.store.kept('a/key')
     assert stored is not None
     assert stored.value == b'one'
 
 
-@then('every call of the store gives the same by both ways')
+@then('every store call gives the same result directly and through a sidecar')
 def same(context: Any) -> None:
-    """Go through the calls, those that change something on a key for each way."""
+    """Make each call both directly and through a sidecar, writes with a separate key for each."""
     fleet = context.cut
-    lease = {way: fleet.call(way, 'grant', 5) for way in ('store', 'sidecar')}
+    lease = {path: fleet.call(path, 'grant', 5) for path in ('store', 'sidecar')}
     fleet.store.put('many/1', b'')
     fleet.store.put('many/2', b'\x00\xff')
     for name, arguments in (
@@ -171,22 +172,22 @@
 
 
 def _writes(fleet: CutFleet, lease: dict[str, int]) -> None:
-    for way, lease_id in lease.items():
-        written = fleet.call(way, 'swap', f'own/{way}', b'x', 0)
+    for path, lease_id in lease.items():
+        written = fleet.call(path, 'swap', f'own/{path}', b'x', 0)
         assert isinstance(written, Stored), written
-        assert fleet.store.kept(f'own/{way}') == written
-        lost = fleet.call(way, 'swap', f'own/{way}', b'y', 0)
+        assert fleet.store.kept(f'own/{path}') == written
+        lost = fleet.call(path, 'swap', f'own/{path}', b'y', 0)
         assert isinstance(lost, Conflict), lost
         assert lost.version == written.version
-        assert fleet.call(way, 'keep_alive', lease_id) is True
-        assert fleet.call(way, 'keep_alive', lease_id + 100) is False
+        assert fleet.call(path, 'keep_alive', lease_id) is True
+        assert fleet.call(path, 'keep_alive', lease_id + 100) is False
     fleet.store.lose_answers = 1
     assert isinstance(fleet.call('sidecar', 'swap', 'own/lost', b'x', 0), StoreWriteUnconfirmed)
 
 
-@then('a router without the list is told it by another that has it')
-def told(context: Any) -> None:
-    """Leave the list out of what one router knows."""
+@then('a router without the list of sidecars gets it from another router')
+def outcome(context: Any) -> None:
+    """Remove the list from one router."""
     have, lack = context.cut.directories
     lack.sidecars = ()
     context.cut.routers[1].store_status.failed('cut off')
--- a/features/subjects/cut_router.py
+++ b/features/subjects/cut_router.py
@@ -1,4 +1,4 @@
-"""One router of a test fleet, with the parts that talk to the store and to other instances."""
+"""One router of a test fleet, with the parts that call the store and other instances."""
 
 import asyncio
 from typing import Any
@@ -28,22 +28,22 @@
 
 
 class NoDocuments:
-    """A decoder that is never asked: these routers declare nothing in the store."""
+    """A decoder that is never used: these routers declare nothing in the store."""
 
     declared_key = 'none/declared'
     declared_prefix = 'none/declared'
     servers_prefix = 'none/servers/'
 
     def declared(self, stored: Stored) -> Declarations | None:
-        """Refuse."""
+        """Raise an error."""
         raise ValueError(stored.key)
 
     def evacuated(self, key: str) -> str:
-        """Know of no evacuations."""
+        """Return that no data centre is evacuated."""
         return ''
 
     def server(self, stored: Stored, now_unix_s: float) -> RouteServer:
-        """Refuse."""
+        """Raise an error."""
         raise ValueError(stored.key)
 
     def lifetime(self, key: str) -> str:
@@ -52,16 +52,16 @@
 
 
 class CutStore:
-    """The store behind a link that may swallow everything."""
+    """The store behind a link that can drop everything."""
 
     def __init__(self, store: MemoryStore, clock: LoopClock) -> None:
-        """Start with a sound link."""
+        """Initialize with a working link."""
         self.cut = False
         self._store = store
         self._clock = clock
 
     def __getattr__(self, name: str) -> Any:
-        """Make any call of the store, unless the link is cut."""
+        """Return any method of the store; its calls fail while the link is cut."""
         call = getattr(self._store, name)
 
         async def made(*arguments: Any) -> Any:
@@ -76,7 +76,7 @@
 
 
 class CutRouter:
-    """One life of a router, reached at ``address``."""
+    """One incarnation of a router, reached at ``address``."""
 
     def __init__(
         self,
@@ -86,7 +86,7 @@
         store: Any,
         decoder: Decoder | None = None,
     ) -> None:
-        """Build its parts; ``start`` runs them."""
+        """Create its parts; ``start`` runs them."""
         decoder = decoder or NoDocuments()
         clock = LoopClock()
         self.address = address
@@ -146,13 +146,13 @@
         self._tasks.append(asyncio.ensure_future(self._tend()))
 
     def kill(self) -> None:
-        """End it with all that it knows."""
+        """End the router with its state."""
         self._net.kill(self.address)
         for task in self._tasks:
             task.cancel()
 
     async def give_back(self) -> None:
-        """Give back what is not in use, as at a graceful stop."""
+        """Give back unused tokens, as at a graceful stop."""
         await self.pools.release()
         await self.allocator.release()
 
--- a/features/subjects/memory_sidecar.py
+++ b/features/subjects/memory_sidecar.py
@@ -18,10 +18,10 @@
 
 
 class MemorySidecar:
-    """One life of a sidecar, reached at ``address``."""
+    """One incarnation of a sidecar, reached at ``address``."""
 
     def __init__(self, name: str, address: str, net: MemoryNet, store: MemoryStore) -> None:
-        """Build its parts."""
+        """Initialize without serving; ``start`` does that."""
         self._clock = LoopClock()
         self._name = name
         self._address = address
@@ -30,7 +30,7 @@
         self._polls = SharedPolls(store, self._clock)
 
     async def start(self) -> None:
-        """Serve, and enter it into the store."""
+        """Serve, and register in the store."""
         handlers = Handlers()
         answer_store(handlers, self._polls, self._clock)
         ReportAggregator(self._clock, self._name).register(handlers)
--- a/features/subjects/router_fleet.py
+++ b/features/subjects/router_fleet.py
@@ -1,4 +1,4 @@
-"""The common part of subjects with several routers, a store and sidecars on one loop."""
+"""Common base of subjects with several routers, a store and sidecars on one event loop."""
 
 import anyio
 
@@ -11,10 +11,10 @@
 
 
 class RouterFleet:
-    """A store and sidecars; each call runs on one loop in virtual time."""
+    """A store and sidecars; each call runs on one event loop in virtual time."""
 
     def __init__(self, sidecars: int) -> None:
-        """Start without routers."""
+        """Initialize without routers."""
         self._loop = ScenarioLoop()
         self._clock = LoopClock()
         self._store = MemoryStore(self._clock)
@@ -26,15 +26,15 @@
         self._routers: list[CutRouter] = []
 
     def close(self) -> None:
-        """End the loop."""
+        """Close the event loop."""
         self._loop.close()
 
     def sleep(self, seconds: float) -> None:
-        """Let time pass."""
+        """Let virtual time pass."""
         self._loop.run(anyio.sleep, seconds)
 
     def lose_store(self, lost: bool) -> None:
-        """Take the store away from all, or bring it back."""
+        """Make the store unavailable to all instances, or available again."""
         self._store.fail(lost)
 
     async def _start_sidecars(self) -> None:
--- a/features/subjects/shared_polls.py
+++ b/features/subjects/shared_polls.py
@@ -1,4 +1,4 @@
-"""Subject: routers that follow the store through one sidecar."""
+"""Subject: routers that follow a prefix of the store through one sidecar."""
 
 import asyncio
 
@@ -18,10 +18,10 @@
 
 
 class SilentLink:
-    """The way to the store, on which answers may vanish: also that of a poll under way."""
+    """A connection to the store that can lose answers, also those of polls in flight."""
 
     def __init__(self, store: MemoryStore, clock: LoopClock) -> None:
-        """Start with a sound way."""
+        """Initialize with a working connection."""
         self.cut = False
         self._store = store
         self._clock = clock
@@ -29,7 +29,7 @@
     async def poll(
         self, prefix: str, after_version: int, wait_s: float, deadline_unix_s: float
     ) -> Changes | Absent:
-        """Poll the store, unless the answer vanishes."""
+        """Poll the store; fails at the deadline if the connection is cut."""
         answer = await self._store.poll(prefix, after_version, wait_s, deadline_unix_s)
         if self.cut:
             await anyio.sleep(max(0, deadline_unix_s - self._clock.now_s()))
@@ -38,10 +38,10 @@
 
 
 class Follower:
-    """One router: what it knows, and when it was told that the sidecar does not know."""
+    """One router: the keys it knows, and the number of its failed polls."""
 
     def __init__(self, polls: SharedPolls, clock: LoopClock) -> None:
-        """Start at the beginning."""
+        """Initialize without keys, at the first version."""
         self.known: set[str] = set()
         self.version = 0
         self.failures = 0
@@ -49,12 +49,12 @@
         self._clock = clock
 
     async def run(self) -> None:
-        """Follow until cancelled; a failure is followed by a pause, as in a router."""
+        """Poll until cancelled, with a pause after each failure, as a router does."""
         while True:
             await self.poll()
 
     async def poll(self) -> None:
-        """Ask once."""
+        """Poll once."""
         deadline_unix_s = self._clock.now_s() + POLL_S
         try:
             changes = await self._polls.poll(PREFIX, self.version, POLL_S, deadline_unix_s)
@@ -71,10 +71,10 @@
 
 
 class SharedFleet:
-    """A store, one sidecar, and routers; on one loop in virtual time."""
+    """A store, one sidecar and routers, on one event loop in virtual time."""
 
     def __init__(self, routers: int) -> None:
-        """Let them follow."""
+        """Start the sidecar and the routers."""
         self._loop = ScenarioLoop()
         self._clock = LoopClock()
         self.store = MemoryStore(self._clock)
@@ -85,27 +85,27 @@
         self._loop.run(self._start, routers)
 
     def close(self) -> None:
-        """End the loop."""
+        """Close the event loop."""
         self._loop.close()
 
     def sleep(self, seconds: float) -> None:
-        """Let time pass."""
+        """Let virtual time pass."""
         self._loop.run(anyio.sleep, seconds)
 
     def write(self, value: bytes = b'x') -> str:
-        """Write a key below the prefix; return it."""
+        """Write a key below the prefix, and return the key."""
         key = f'{PREFIX}{len(self.routers)}'
         self._loop.run(self._write, key, value)
         return key
 
     def forget_while_writing(self) -> str:
-        """Drop the history at the moment of a write."""
+        """Write a key and drop the history at the same time; return the key."""
         key = f'{PREFIX}lost'
         self._loop.run(self._forget, key)
         return key
 
     def late_router(self) -> Follower:
-        """Return a router that asked once, from the beginning."""
+        """Return a new router that has polled once from the first version."""
         router = Follower(self.polls, self._clock)
         self._loop.run(router.poll)
         return router
--- a/features/subjects/shares.py
+++ b/features/subjects/shares.py
@@ -1,4 +1,4 @@
-"""Subject: shares of prepaid totals, held by several routers over one store."""
+"""Subject: several routers that share a prepaid total through one store."""
 
 import asyncio
 
@@ -24,24 +24,24 @@
 
 
 class Others:
-    """The other routers as one of them knows them; there are no sidecars."""
+    """The other routers from the view of one router; there are no sidecars."""
 
     sidecars = ()
     loaded = True
 
     def __init__(self, shares: 'Shares', name: str) -> None:
-        """Know what ``shares`` runs but for ``name``."""
+        """Initialize with the routers of ``shares`` except ``name``."""
         self._shares = shares
         self._name = name
 
     @property
     def others(self) -> dict[str, str]:
-        """Addresses of the other routers by lifetime."""
+        """Addresses of the other routers by incarnation."""
         return {name: name for name in self._shares.names if name != self._name}
 
 
 class Shares:
-    """Routers that share one account; each call runs on one loop in virtual time."""
+    """Routers that share one account; each call runs on one event loop in virtual time."""
 
     def __init__(self, routers: int, total: int) -> None:
         """Start ``routers`` over an empty store."""
@@ -61,44 +61,44 @@
         self._loop.run(self._start_all, routers)
 
     def close(self) -> None:
-        """End the loop."""
+        """Close the event loop."""
         self._loop.close()
 
     def declare(self, total: int) -> None:
-        """Put a new total in force in all routers."""
+        """Declare a new total to all routers."""
         self.total = max(self.total, total)
         self.version += 1
         for routing_state in self.routing_state.values():
             routing_state.declare(self._declared(total), b'', 'test')
 
     def spend(self, router: int, tokens: int, worst: int = 0) -> bool:
-        """Have a router carry one request; True when it was admitted."""
+        """Send one request to a router; return whether it was admitted."""
         return self._loop.run(self._spend, self.names[router], tokens, worst or tokens)
 
     def hold(self, router: int, tokens: int) -> Reservation | Refusal:
-        """Reserve and leave it open."""
+        """Reserve for a request and keep it open."""
         return self._loop.run(self._reserve, self.names[router], tokens)
 
     def hold_together(self, router: int, tokens: int, count: int) -> list[Reservation | Refusal]:
-        """Reserve for requests that arrive at one moment, and leave them open."""
+        """Reserve for concurrent requests and keep them open."""
         return self._loop.run(self._reserve_together, self.names[router], tokens, count)
 
     def release_all(self) -> None:
-        """Have all routers give back what is not in use."""
+        """Have all routers give back unused tokens."""
         self._loop.run(self._release)
 
     def kill_all(self) -> None:
-        """Lose all routers with what they know, and start as many anew."""
+        """Kill all routers with their state, and start as many new ones."""
         count = len(self.names)
         self._loop.run(self._kill)
         self._loop.run(self._start_all, count)
 
-    def away(self, away: bool) -> None:
-        """Take the store away from all routers, or bring it back."""
-        self._loop.run(self._away, away)
+    def lose_store(self, lost: bool) -> None:
+        """Make the store unavailable to all routers, or available again."""
+        self._loop.run(self._lose_store, lost)
 
     def sleep(self, seconds: float) -> None:
-        """Let time pass."""
+        """Let virtual time pass."""
         self._loop.run(anyio.sleep, seconds)
 
     def granted(self) -> int:
@@ -106,25 +106,25 @@
         return sum(entry.granted for entry in self._entries().values())
 
     def granted_to(self, router: int) -> int:
-        """Return what a router has drawn and not given back."""
+        """Return the tokens that a router has drawn and not given back."""
         return int(self.pools[self.names[router]].dump()[ACCOUNT]['granted_tokens'])
 
-    def kept_ahead(self) -> int:
-        """Return what the store has on record as granted and no router holds."""
+    def unallocated(self) -> int:
+        """Return the tokens that are granted on record and that no router holds."""
         held = sum(self.granted_to(router) for router, _ in enumerate(self.names))
         return self.granted() - held
 
     def used_by(self, router: int) -> int:
-        """Return what a router has spent and reserved."""
+        """Return the tokens that a router has spent and reserved."""
         share = self.pools[self.names[router]].dump()[ACCOUNT]
         return int(share['spent_tokens'] + share['reserved_tokens'])
 
     def release(self, router: int) -> None:
-        """Have one router give back what is not in use."""
+        """Have one router give back unused tokens."""
         self._loop.run(self._release_one, self.names[router])
 
     def writes(self) -> int:
-        """Return how many writes the store has seen."""
+        """Return the number of writes that the store counted."""
         return self.store.calls['swap']
 
     def _entries(self) -> dict[str, GrantEntry]:
@@ -132,8 +132,8 @@
         records = [decode(stored.value).accounts for stored in keys if stored and stored.value]
         return next(record[ACCOUNT].entries for record in records if ACCOUNT in record)
 
-    async def _away(self, away: bool) -> None:
-        self.store.fail(away)
+    async def _lose_store(self, lost: bool) -> None:
+        self.store.fail(lost)
 
     async def _start_all(self, count: int) -> None:
         self.names = []
--- a/features/subjects/slow_own_link.py
+++ b/features/subjects/slow_own_link.py
@@ -1,4 +1,4 @@
-"""Subject: a router whose calls to all other instances take long, and the keeper of an account."""
+"""Subject: a router whose calls to all other instances are slow, and an allocator."""
 
 import asyncio
 from typing import Any
@@ -34,12 +34,12 @@
 
 
 class SlowPeers(MemoryPeers):
-    """Calls that take longer by ``delay_s``."""
+    """Peers whose calls take ``delay_s`` longer."""
 
     delay_s = 0.0
 
     async def call(self, address: str, rpc: Any, message: Any, deadline_unix_s: float) -> Any:
-        """Make one call; one that takes longer than it may has no answer."""
+        """Make one call, which fails if it would exceed its deadline."""
         left_s = deadline_unix_s - self._net.clock.now_s()
         if self.delay_s >= left_s:
             await anyio.sleep(max(0, left_s))
@@ -49,23 +49,23 @@
 
 
 class SlowNet(MemoryNet):
-    """A network in which one router's own link may be slow."""
+    """A network in which one router's own link can be slow."""
 
     def __init__(self, clock: Any) -> None:
-        """Start with quick links."""
+        """Initialize with fast links."""
         super().__init__(clock)
         self.slow = SlowPeers(self, ROUTER)
 
     def peers(self, address: str) -> MemoryPeers:
-        """Return the calls that the instance at ``address`` makes."""
+        """Return the peers as called by the instance at ``address``."""
         return self.slow if address == ROUTER else super().peers(address)
 
 
 class SlowOwnLink(RouterFleet):
-    """One router, sidecars that keep accounts and have engines beside them."""
+    """One router, and sidecars that own accounts and run beside engines."""
 
     def __init__(self, sidecars: int) -> None:
-        """Start them, and let the keeper hold a part of the total."""
+        """Start them, and let the allocator get a grant."""
         super().__init__(0)
         self._net = SlowNet(self._clock)
         self._addresses = [f'10.0.1.{number}:1' for number in range(sidecars)]
@@ -74,16 +74,16 @@
         self._loop.run(self._start)
 
     def slow(self, delay_s: float) -> None:
-        """Have the router's own calls take longer."""
+        """Delay the router's own calls."""
         self._net.slow.delay_s = delay_s
 
-    def silence_keeper(self) -> None:
-        """Have the keeper of the account vanish."""
-        self._loop.run(self._silence_keeper)
+    def silence_allocator(self) -> None:
+        """Cut the allocator of the account off from the router."""
+        self._loop.run(self._silence_allocator)
 
-    def come(self, per_s: float, tokens: int, seconds: float) -> None:
-        """Reserve and settle for requests; prompts ask for places at engines meanwhile."""
-        self._loop.run(self._come, per_s, tokens, seconds)
+    def send_requests(self, per_s: float, tokens: int, seconds: float) -> None:
+        """Reserve and settle for requests, while prompts ask for admission to engines."""
+        self._loop.run(self._send_requests, per_s, tokens, seconds)
 
     async def _start(self) -> None:
         for number, address in enumerate(self._addresses):
@@ -91,10 +91,10 @@
         self._router = CutRouter('router-0', ROUTER, self._net, self._store)
         self._router.start(ACCOUNT)
         await anyio.sleep(START_S)
-        await self._come(20, 1000, 3)
+        await self._send_requests(20, 1000, 3)
         assert not self.refused
 
-    async def _silence_keeper(self) -> None:
+    async def _silence_allocator(self) -> None:
         choice = AllocatorChoice(self._router.directory, ROUTER, self._clock)
         self._net.part({ROUTER}, {choice.ranked(group_of(ACCOUNT.name))[0]})
 
@@ -108,7 +108,7 @@
         own = Instance(SIDECAR, name, address, 'porto-a')
         await InstanceEntry(self._store, self._clock, own, SIDECAR_LEASE_S).renew()
 
-    async def _come(self, per_s: float, tokens: int, seconds: float) -> None:
+    async def _send_requests(self, per_s: float, tokens: int, seconds: float) -> None:
         async with anyio.create_task_group() as group:
             group.start_soon(self._ask_engines, seconds)
             for _ in range(int(per_s * seconds)):
@@ -124,7 +124,7 @@
         reservation.settle(tokens)
 
     async def _ask_engines(self, seconds: float) -> None:
-        """Ask sidecars for places, as prompts do."""
+        """Ask sidecars for admission to their engines, as prompts do."""
         end_unix_s = self._clock.now_s() + seconds
         number = 0
         while self._clock.now_s() < end_unix_s:
--- a/features/subjects/store_relay.py
+++ b/features/subjects/store_relay.py
@@ -42,118 +42,118 @@
 
 
 class CutFleet:
-    """Routers and sidecars over one store; each call runs on one loop in virtual time."""
+    """Routers and sidecars with one store; each call runs on one event loop in virtual time."""
 
     def __init__(self, routers: int, sidecars: int, total: int) -> None:
         """Start them, and let them find each other."""
         self._loop = ScenarioLoop()
         self._clock = LoopClock()
         self.total = total
-        self._lives = 0
-        self._sidecar_lives = 0
+        self._router_incarnations = 0
+        self._sidecar_incarnations = 0
         self.store = MemoryStore(self._clock)
         self.net = MemoryNet(self._clock)
         self.spent = 0
         self.router_lists = 0
         self.reads: list[Any] = []
         self.allocators: list[Allocator] = []
-        self._keeping: list[asyncio.Future[None]] = []
+        self._allocator_tasks: list[asyncio.Future[None]] = []
         self.routers: list[CutRouter] = []
-        self.in_vain: Counter[str] = Counter()
+        self.failed_polls: Counter[str] = Counter()
         self._entries: list[InstanceEntry] = []
         self._loop.run(self._start, routers, sidecars)
 
     def close(self) -> None:
-        """End the loop."""
+        """Close the event loop."""
         self._loop.close()
 
     @property
     def directories(self) -> list[InstanceDirectory]:
-        """What each router knows of the others."""
+        """Each router's directory of the other instances."""
         return [router.directory for router in self.routers]
 
     def cut(self, cut: bool) -> None:
-        """Cut all routers off from the store, or heal that."""
+        """Cut all routers off from the store, or reconnect them."""
         for router in self.routers:
             router.cut.cut = cut
 
     def silence(self, sidecar: int) -> None:
-        """Have a sidecar's messages vanish."""
+        """Lose a sidecar's messages."""
         self.net.part({router.address for router in self.routers}, {_sidecar(sidecar)})
 
     def lose_replies(self) -> None:
-        """Have what the sidecars answer vanish."""
+        """Lose the sidecars' answers."""
         for router in self.routers:
             for address in router.directory.sidecars:
                 self.net.faults[router.address, address] = Fault.LOST_REPLY
 
     def sleep(self, seconds: float) -> None:
-        """Let time pass."""
+        """Let virtual time pass."""
         self._loop.run(anyio.sleep, seconds)
 
     def spend(self, router: int, tokens: int) -> bool:
-        """Carry one request; True when it was admitted."""
+        """Send one request; return whether it was admitted."""
         return self._loop.run(self._spend, router, tokens)
 
     def hold(self, router: int, tokens: int) -> Reservation | Refusal:
-        """Reserve for a request and leave it open."""
+        """Reserve for a request and keep it open."""
         return self._loop.run(self.routers[router].pools.reserve, self._account(), tokens)
 
     def kill(self, router: int) -> None:
-        """Lose one router, and start another life of it in its place."""
+        """Kill a router, and start its next incarnation."""
         self._loop.run(self._kill, router)
 
     def lose_sidecar(self, sidecar: int) -> None:
-        """Lose a sidecar with what lies there; nobody listens at its address."""
+        """Kill a sidecar; nothing listens at its address afterwards."""
         self._loop.run(self._lose_sidecar, sidecar)
 
     def kill_all(self) -> None:
-        """Lose all routers and sidecars, and start another life of each; count their lists."""
+        """Kill and restart all routers and sidecars, and count lists of routers from then on."""
         self._loop.run(self._kill_all)
 
     def kill_sidecar(self, sidecar: int) -> None:
-        """Lose a sidecar with what lies there, and start another life of it."""
+        """Kill a sidecar, and start its next incarnation."""
         self._loop.run(self._start_sidecar, sidecar)
 
     def stop_sidecar(self, sidecar: int) -> None:
         """Stop a sidecar gracefully."""
         self._loop.run(self._stop_sidecar, sidecar)
 
-    def leave_sidecar(self, sidecar: int) -> None:
-        """Stop a sidecar gracefully, with its word on record."""
+    def deregister_sidecar(self, sidecar: int) -> None:
+        """Stop a sidecar gracefully, after it has removed its entry."""
         self._loop.run(self._entries[sidecar].remove)
         self.stop_sidecar(sidecar)
 
-    def count_in_vain(self) -> None:
-        """Count from now on which router follows the store through a sidecar in vain."""
+    def count_failed_polls(self) -> None:
+        """Count each router's failed polls through a sidecar from now on."""
         for router in self.routers:
-            router.store.observer = partial(self._count_in_vain, router.address)
+            router.store.observer = partial(self._count_failed_poll, router.address)
 
     def stop(self, router: int) -> None:
-        """Stop a router gracefully, and start another life of it."""
+        """Stop a router gracefully, and start its next incarnation."""
         self._loop.run(self.routers[router].give_back)
         self.kill(router)
 
-    def deposited(self) -> int:
-        """Return the tokens that sidecars keep and no router holds."""
-        return sum(ahead(allocator) for allocator in self.allocators)
+    def held_by_sidecars(self) -> int:
+        """Return the tokens that sidecars may still hand out."""
+        return sum(unallocated(allocator) for allocator in self.allocators)
 
-    def kept_by_routers(self) -> int:
-        """Return the tokens that routers keep for others."""
-        return sum(ahead(router.allocator) for router in self.routers)
+    def held_by_routers(self) -> int:
+        """Return the tokens that routers may still hand out as allocators."""
+        return sum(unallocated(router.allocator) for router in self.routers)
 
     def read(self) -> None:
-        """Have each router read a key; keep what it is told."""
+        """Have each router read a key, and keep the outcomes."""
         self._loop.run(self._read)
 
     def send(self, router: int, tokens: int) -> None:
-        """Have a router send a prompt, half of it shared, to the one backend server."""
+        """Have a router send a prompt, half of it shared, to the only backend server."""
         parts = ((SHARED_PART, tokens // 2), ('own', tokens - tokens // 2))
         routing_request = ForwardRoutingRequest('r-1', 'engines', parts, tokens, 100)
         self._loop.run(self._begin, router, routing_request)
 
     def talks(self) -> int:
-        """Return how many words routers sent to each other, and answered."""
+        """Return the number of reports that routers sent to each other, and of answers."""
         return self.net.calls.get(rpcs.WORD.path, 0)
 
     def isolate(self, router: int) -> None:
@@ -171,16 +171,16 @@
         return self._loop.run(self._holds, backend)
 
     def relayed(self) -> int:
-        """Return how many calls the sidecars were asked to make."""
+        """Return the number of calls that the sidecars were asked to make."""
         paths = (rpcs.STORE.path, rpcs.READ.path)
         return sum(self.net.calls.get(path, 0) for path in paths)
 
-    def call(self, way: str, name: str, *arguments: Any) -> Any:
-        """Make one call directly or through the first sidecar; return what it gave."""
-        return self._loop.run(self._call, way, name, arguments)
+    def call(self, path: str, name: str, *arguments: Any) -> Any:
+        """Make one call directly or through the first sidecar; return its result or error."""
+        return self._loop.run(self._call, path, name, arguments)
 
-    def _count_in_vain(self, router: str, made: StoreCall) -> None:
-        self.in_vain[router] += made.path == SHARED and made.outcome == 'unreachable'
+    def _count_failed_poll(self, router: str, made: StoreCall) -> None:
+        self.failed_polls[router] += made.path == SHARED and made.outcome == 'unreachable'
 
     async def _begin(self, router: int, routing_request: ForwardRoutingRequest) -> None:
         Placement(self.routers[router].dispatcher, self.backends()[router], routing_request).start()
@@ -203,8 +203,8 @@
     async def _start_sidecar(self, number: int) -> None:
         handlers = Handlers()
         answer_store(handlers, self.store, self._clock)
-        self._sidecar_lives += 1
-        name = f'sidecar-{self._sidecar_lives}'
+        self._sidecar_incarnations += 1
+        name = f'sidecar-{self._sidecar_incarnations}'
         address = _sidecar(number)
         allocator = Allocator(
             AllocatorContext(name, address, self.store, self._clock, self.net.peers(address))
@@ -213,17 +213,17 @@
         ReportAggregator(self._clock, name).register(handlers)
         task = asyncio.ensure_future(allocator.run())
         if number < len(self.allocators):
-            self._keeping[number].cancel()
+            self._allocator_tasks[number].cancel()
             self.allocators[number] = allocator
-            self._keeping[number] = task
+            self._allocator_tasks[number] = task
         else:
             self.allocators.append(allocator)
-            self._keeping.append(task)
+            self._allocator_tasks.append(task)
         self.net.serve(_sidecar(number), handlers)
 
     async def _lose_sidecar(self, number: int) -> None:
         self.net.kill(_sidecar(number))
-        self._keeping[number].cancel()
+        self._allocator_tasks[number].cancel()
 
     async def _kill_all(self) -> None:
         for lost, _ in enumerate(self.allocators):
@@ -254,8 +254,10 @@
         self.net.kill(_sidecar(number))
 
     def _router(self, number: int) -> CutRouter:
-        self._lives += 1
-        return CutRouter(f'router-{self._lives}', f'10.0.0.{number}:1', self.net, self.store)
+        self._router_incarnations += 1
+        return CutRouter(
+            f'router-{self._router_incarnations}', f'10.0.0.{number}:1', self.net, self.store
+        )
 
     async def _kill(self, number: int) -> None:
         self.routers[number].kill()
@@ -279,12 +281,12 @@
             except FleetError as error:
                 self.reads.append(error)
 
-    async def _call(self, way: str, name: str, arguments: Sequence[Any]) -> Any:
+    async def _call(self, path: str, name: str, arguments: Sequence[Any]) -> Any:
         store: Any = self.store
-        if way == 'sidecar':
+        if path == 'sidecar':
             peers = self.net.peers(self.routers[0].address)
             store = RemoteStore(_sidecar(0), peers, self._clock)
-        if way == 'router':
+        if path == 'router':
             store = self.routers[0].store
         try:
             return await getattr(store, name)(*arguments, self._clock.now_s() + 1)
@@ -299,7 +301,7 @@
     return f'10.0.1.{number}:1'
 
 
-def ahead(allocator: Allocator) -> int:
+def unallocated(allocator: Allocator) -> int:
     """Return the tokens that a keeper may still hand out."""
     return int(
         sum(
