--- a/packages/fleet/src/endivesaddle/fleet/budgets/__init__.py
+++ b/packages/fleet/src/endivesaddle/fleet/budgets/__init__.py
@@ -1,4 +1,4 @@
 """Prepaid budgets: ceilings for each data centre, epochs, top-ups.
 
-``holder.BudgetHolder`` is what a router wires; ``top_ups`` is what operators use.
+``holder.BudgetHolder`` is the entry point for a router, ``top_ups`` for operators.
 """
--- a/packages/fleet/src/endivesaddle/fleet/budgets/direct_transfers.py
+++ b/packages/fleet/src/endivesaddle/fleet/budgets/direct_transfers.py
@@ -1,9 +1,9 @@
-"""Direct transfers of headroom, for the time when the store can't be reached.
+"""Direct transfers of headroom between holders while the store is unavailable.
 
-The donor lowers what it may spend, then answers; the receiver may spend what it
-was answered.  The store learns of it from the receiver, which in one write
-lowers the donor's ceiling and raises its own.  Until then the tokens stay in the
-donor's ceiling there, so that the sum of ceilings never shows them as free.
+The donor lowers its own ceiling in memory before it replies; the receiver may spend the
+tokens in the reply.  The receiver later records the transfer in the store: one write
+lowers the donor's ceiling and raises its own.  Until then the tokens are part of the
+donor's ceiling in the store, so they never appear as free there.
 """
 
 from typing import NamedTuple
@@ -13,21 +13,21 @@
 
 
 class HolderEpoch(NamedTuple):
-    """One side of a transfer: a data centre's holder under an epoch."""
+    """The holder of a data centre under one epoch, such as one side of a transfer."""
 
     data_centre: str
     epoch: int
 
 
 class TransferId(NamedTuple):
-    """What a transfer id says: the donor, the receiver and a number of the receiver's."""
+    """A parsed transfer id: donor, receiver, and a number assigned by the receiver."""
 
     donor: HolderEpoch
     receiver: HolderEpoch
     number: str
 
     def __str__(self) -> str:
-        """Return the id as it goes over the wire and into the store."""
+        """Return the id as used on the wire and in the store."""
         holder_epochs = [
             f'{holder_epoch.data_centre}/{holder_epoch.epoch}'
             for holder_epoch in (self.donor, self.receiver)
@@ -36,7 +36,7 @@
 
 
 def parse_id(transfer_id: str) -> TransferId:
-    """Read an id; raise ``ValueError`` when it isn't one."""
+    """Parse a transfer id; raises ``ValueError`` if it is malformed."""
     donor, donor_epoch, receiver, receiver_epoch, number = transfer_id.split('/')
     return TransferId(
         HolderEpoch(donor, int(donor_epoch)), HolderEpoch(receiver, int(receiver_epoch)), number
@@ -50,10 +50,10 @@
     transfer: DirectTransfer,
     receiver: HolderEpoch,
 ) -> bool:
-    """Move tokens from the donor's ceiling to the receiver's; False when it can't be.
+    """Move tokens from the donor's ceiling to the receiver's; return False if impossible.
 
-    Nothing is done where the id is there already: an earlier write whose answer
-    was lost has moved them.
+    Does nothing if the record already has the id: an earlier write whose reply was lost
+    has moved the tokens.
     """
     budget = record['budgets'][account]
     if transfer_id in budget['moves']:
@@ -78,23 +78,23 @@
             return False
         budget['grants'][holder_epoch.data_centre] = grant._replace(ceiling=grant.ceiling + tokens)
         return True
-    for place, entry in enumerate(budget['stranded']):
+    for index, entry in enumerate(budget['stranded']):
         found = (entry.data_centre, entry.epoch) == holder_epoch
         if found and entry.ceiling + tokens >= entry.settled:
-            budget['stranded'][place] = entry._replace(ceiling=entry.ceiling + tokens)
+            budget['stranded'][index] = entry._replace(ceiling=entry.ceiling + tokens)
             return True
     if tokens <= 0 or records.sealed_key(*holder_epoch) not in record['sealed']:
         return False
-    # A passed holder that was granted nothing by the store and lived on transfers.
+    # A past holder without a grant from the store, which spent transferred tokens only.
     budget['stranded'].append(records.Stranded(*holder_epoch, tokens, 0, 0))
     return True
 
 
 class TransferUpdate:
-    """What one write of a holder does about an account's direct transfers."""
+    """The changes to an account's direct transfers in one write of a holder."""
 
     def __init__(self, record: records.ShardRecord, account: str, own: HolderEpoch) -> None:
-        """Work on a record that is about to be written."""
+        """Initialize for a record that is about to be written."""
         self._record = record
         self._account = account
         self._own = own
@@ -103,22 +103,22 @@
         self.voided: list[str] = []
 
     def apply(self, ledger: Ledger) -> bool:
-        """Enter what was taken, void what was never answered, see what was entered."""
-        kept = self._record['budgets'][self._account]['moves']
-        before = dict(kept)
+        """Record received transfers, void unanswered requests, acknowledge recorded ones."""
+        transfers = self._record['budgets'][self._account]['moves']
+        before = dict(transfers)
         for transfer_id, transfer in ledger.pending.received.items():
             if record_transfer(self._record, self._account, transfer_id, transfer, self._own):
                 self.recorded.append(transfer_id)
         for transfer_id in ledger.pending.unanswered:
-            kept.setdefault(transfer_id, records.RecordedTransfer(0, acknowledged=False))
+            transfers.setdefault(transfer_id, records.RecordedTransfer(0, acknowledged=False))
             self.voided.append(transfer_id)
-        for transfer_id in list(kept):
-            self._acknowledge(transfer_id, ledger)
+        for transfer_id in list(transfers):
+            self._update_state(transfer_id, ledger)
         self.returned = dict(ledger.pending.acknowledged)
-        return before != kept
+        return before != transfers
 
     def confirm(self, ledger: Ledger) -> None:
-        """Forget what the store now knows."""
+        """Drop the pending transfers that the confirmed write has stored."""
         for transfer_id in self.recorded:
             ledger.pending.received.pop(transfer_id)
         for transfer_id in self.voided:
@@ -129,29 +129,29 @@
 
     @property
     def ceiling_change_tokens(self) -> int:
-        """Return by how much the entered and returned transfers raise the own ceiling."""
-        kept = self._record['budgets'][self._account]['moves']
-        recorded = sum(kept[transfer_id].tokens for transfer_id in self.recorded)
+        """The change of the own ceiling by the recorded and the returned transfers."""
+        transfers = self._record['budgets'][self._account]['moves']
+        recorded = sum(transfers[transfer_id].tokens for transfer_id in self.recorded)
         return recorded - sum(self.returned.values())
 
-    def _acknowledge(self, transfer_id: str, ledger: Ledger) -> None:
-        kept = self._record['budgets'][self._account]['moves']
-        transfer = kept[transfer_id]
+    def _update_state(self, transfer_id: str, ledger: Ledger) -> None:
+        transfers = self._record['budgets'][self._account]['moves']
+        transfer = transfers[transfer_id]
         donor, receiver, _ = parse_id(transfer_id)
         if donor == self._own and transfer_id in ledger.pending.given:
             ledger.pending.acknowledged[transfer_id] = transfer.tokens
         if self._acts_for(donor) and not transfer.acknowledged:
-            kept[transfer_id] = transfer._replace(acknowledged=True)
-        settled = (
+            transfers[transfer_id] = transfer._replace(acknowledged=True)
+        is_settled = (
             transfer_id not in ledger.pending.received
             and transfer_id not in ledger.pending.unanswered
         )
-        if self._acts_for(receiver) and transfer.acknowledged and settled:
-            kept.pop(transfer_id)
+        if self._acts_for(receiver) and transfer.acknowledged and is_settled:
+            transfers.pop(transfer_id)
 
     def _acts_for(self, holder_epoch: HolderEpoch) -> bool:
-        # A passed epoch can't write any more; its successor speaks for it as soon as
-        # nothing more is to be heard of it, or a late report would count tokens twice.
+        # A past epoch can't write any more.  Its successor acts for it, but only once all
+        # usage is known (no entry in ``sealed``): a late report would count tokens twice.
         if holder_epoch.data_centre != self._own.data_centre:
             return False
         return records.sealed_key(*holder_epoch) not in self._record['sealed']
--- a/packages/fleet/src/endivesaddle/fleet/budgets/dumps.py
+++ b/packages/fleet/src/endivesaddle/fleet/budgets/dumps.py
@@ -1,4 +1,4 @@
-"""The state of budgets for a dump and for metrics."""
+"""Describe the state of the budgets for state dumps and metrics."""
 
 from typing import Any
 
@@ -8,7 +8,7 @@
 
 
 def describe(shard_manager: ShardManager) -> dict[str, Any]:
-    """Return all shards and accounts; tokens and Unix seconds."""
+    """Return the state of all held shards and their accounts, in tokens and Unix seconds."""
     shards = {
         shard: {'state': 'being taken'} if held is None else _shard(held)
         for shard, held in shard_manager.held_shards.items()
--- a/packages/fleet/src/endivesaddle/fleet/budgets/epoch_usage.py
+++ b/packages/fleet/src/endivesaddle/fleet/budgets/epoch_usage.py
@@ -1,9 +1,9 @@
-"""What is known of one passed epoch, from the seals of routers and sidecars.
+"""Usage under one past epoch, collected from the seal replies of routers and sidecars.
 
-A run under the epoch was granted by its holder, and ran at a sidecar.  So all
-runs are known when the holder itself answered, still the same incarnation; or when
-every sidecar answered that could have run something since the last settled tokens
-in the store.  See docs/design/budgets.md for the argument.
+Each run under the epoch was granted by its holder and executed at a sidecar.  All runs
+are therefore known if the holder itself replied and is still the same incarnation, or if
+every sidecar replied that may have run something since the settled tokens were last
+written to the store.  See docs/design/budgets.md for the argument.
 """
 
 from collections.abc import Iterable
@@ -14,24 +14,24 @@
 from endivesaddle.wire import holders_pb2
 
 HELD = 'budget_held'
-"""State of a report's record: this instance held the shard under this epoch."""
+"""State in a reported record: this instance held the shard under this epoch."""
 RESERVED = 'budget_reserved'
-"""State of a report's record: an open reservation of the holder itself."""
+"""State in a reported record: an open reservation of the holder itself."""
 SETTLED = 'budget_settled'
-"""State of a report's record: a settled reservation of the holder itself."""
+"""State in a reported record: a settled reservation of the holder itself."""
 TRANSFERRED = 'budget_moved'
-"""State of a report's record: a direct transfer not known to be in the store."""
+"""State in a reported record: a direct transfer that may not be in the store yet."""
 OWN_STATES = frozenset((HELD, RESERVED, SETTLED, TRANSFERRED))
-"""States that only budgets understand; claims are not told of them."""
+"""States used by the budgets alone; they are not passed on to the claims."""
 _ENDED = 'ended'
 
 Reports = Iterable[holders_pb2.Record]
 
 
 class Run(NamedTuple):
-    """What one request counts: its bill, or its bound while it is open.
+    """The tokens counted for one request: the billed ones, or the bound while it is open.
 
-    ``sure``: the bill was made, and no later report changes it.
+    ``sure`` means that the request was billed and no later report can change the bill.
     """
 
     tokens: int
@@ -41,17 +41,17 @@
 
 
 class Release(NamedTuple):
-    """What a stranded entry becomes; ``spent_tokens`` is -1 while something is open."""
+    """The new ceiling of a stranded entry, and its spent tokens or -1 while a run is open."""
 
     ceiling: int
     spent_tokens: int
 
 
 class EpochUsage:
-    """The runs and transfers of one passed epoch, by account."""
+    """The runs and direct transfers of one past epoch, by account."""
 
     def __init__(self, holder_epoch: direct_transfers.HolderEpoch) -> None:
-        """Know nothing of a holder yet."""
+        """Initialize with no known runs."""
         self.holder_epoch = holder_epoch
         self.complete = False
         self.first_batch = 0
@@ -61,9 +61,9 @@
         self.given: dict[str, dict[str, int]] = {}
 
     def learn(self, routers: Reports, sidecars: Reports, known_batch: int) -> None:
-        """Take in the reports about this epoch, of one round of seals.
+        """Merge the records about this epoch from one round of seals.
 
-        What ran of the batch ``known_batch`` and later is known at the sidecars.
+        The sidecars know all runs of batch ``known_batch`` and later ones.
         """
         runs: dict[tuple[str, str], _Reports] = {}
         for record in routers:
@@ -81,7 +81,7 @@
             self.settle(account, request_key, used_tokens)
 
     def settle(self, account: str, request_key: str, used_tokens: int) -> int | None:
-        """Bill a run of this epoch once; return the billed tokens, None when unknown."""
+        """Bill a run of this epoch once; return the billed tokens, or None if it is unknown."""
         run = self.runs.get(account, {}).get(request_key)
         if run is None:
             self.late[account, request_key] = used_tokens
@@ -92,10 +92,10 @@
         return run.tokens
 
     def release(self, account: str, entry: records.Stranded) -> Release | None:
-        """Return what a stranded entry becomes; None while not all is known.
+        """Return the new state of a stranded entry, or None while runs may be unknown.
 
         Runs of batches before ``first_batch`` may be unknown.  A run without a batch
-        can't be told from one that is settled in the store already.
+        can't be distinguished from one that is already settled in the store.
         """
         runs = list(self.runs.get(account, {}).values())
         if entry.batch < self.first_batch or any(not run.batch for run in runs):
@@ -108,7 +108,7 @@
         return Release(ceiling, min(tokens, ceiling) if ended else -1)
 
     def drop_recorded(self, account: str, kept: dict[str, records.RecordedTransfer]) -> None:
-        """Count the given transfers no more that the store shows by now."""
+        """Drop the given transfers that are now recorded in the store."""
         given = self.given.get(account, {})
         for transfer_id in [known for known in given if known in kept]:
             given.pop(transfer_id)
@@ -141,14 +141,14 @@
     bound = max(record.bound_tokens for record in everything)
     running = any(record.state != _ENDED for record in reports.sidecars)
     if running or batch < known_batch:
-        # It may run at a sidecar that didn't answer, or have run at one that was
-        # restarted since and forgot it: count the bound until it is settled.
+        # It may be running at a sidecar that didn't reply, or may have run at one that
+        # was restarted since and lost its memory: count the bound until it is settled.
         return Run(bound, batch, open=True)
-    # All sidecars have sealed the epoch: what is not at one of them never starts.
+    # All sidecars have sealed the epoch: a run that none of them knows will never start.
     used = [record.used_tokens for record in everything if record.state == _ENDED]
     return Run(min(bound, max(used, default=0)), batch, open=False)
 
 
 def holder_epoch_of(record: holders_pb2.Record) -> direct_transfers.HolderEpoch:
-    """Return which holder a report's record speaks of."""
+    """Return the holder that a reported record is about."""
     return direct_transfers.HolderEpoch(record.data_centre, record.epoch)
--- a/packages/fleet/src/endivesaddle/fleet/budgets/errors.py
+++ b/packages/fleet/src/endivesaddle/fleet/budgets/errors.py
@@ -1,15 +1,15 @@
-"""Errors of the budgets; those of the store and of peers are turned into these."""
+"""Errors raised by the budgets; errors of the store and of peers are converted to these."""
 
 from endivesaddle.fleet.errors import FleetError
 
 
 class BadRecord(FleetError):
-    """A shard's record can't be used: broken, newer, or over its budget."""
+    """A shard's record is unusable: corrupt, of a newer format, or over its budget."""
 
 
 class EpochSuperseded(FleetError):
-    """Another holder has taken over: this one's epoch is old."""
+    """Another holder has taken over the shard under a later epoch."""
 
 
 class RecordWriteUnconfirmed(FleetError):
-    """The record could not be written in time; what was tried may have taken effect."""
+    """No write of the record was confirmed in time; one may still have taken effect."""
--- a/packages/fleet/src/endivesaddle/fleet/budgets/held.py
+++ b/packages/fleet/src/endivesaddle/fleet/budgets/held.py
@@ -1,4 +1,4 @@
-"""A shard under one epoch of this holder, in memory."""
+"""The in-memory state of a shard under one epoch of this holder."""
 
 import anyio
 
@@ -9,15 +9,16 @@
 from endivesaddle.fleet.budgets.records_store import Saved
 
 
-class HeldShard:  # noqa: WPS230 (what the tasks of one shard share)
-    """The record as last seen, the ledgers, and what the tasks of the shard tell each other.
+class HeldShard:  # noqa: WPS230 (state shared by the tasks of one shard)
+    """The last read or written record, the ledgers and the events between the shard's tasks.
 
-    ``receivers`` are the epochs that may be given to directly: those that the store
-    names for sure, so that a successor knows whom to ask.
+    ``receivers`` are the epochs to which tokens may be transferred directly: those that
+    this holder's record in the store is confirmed to name, so that a successor knows
+    which holders to ask.
     """
 
     def __init__(self, shard: int, data_centre: str, saved: Saved, now_unix_s: float) -> None:
-        """Hold a shard from the confirmed record ``saved`` on."""
+        """Initialize from ``saved``, the record whose write made this instance the holder."""
         own = saved.record['holders'][data_centre]
         self.shard = shard
         self.data_centre = data_centre
@@ -39,53 +40,53 @@
 
     @property
     def holder_epoch(self) -> HolderEpoch:
-        """This holder as one side of a transfer."""
+        """This holder, identified by its data centre and epoch."""
         return HolderEpoch(self.data_centre, self.epoch)
 
     @property
     def seen_unix_s(self) -> float:
-        """When the record was last read or written."""
+        """The time at which the record was last read or written."""
         return self._seen_unix_s
 
     @property
     def lock(self) -> anyio.Lock:
-        """Held while the record is written."""
+        """The lock that serializes writes of the record."""
         return self._lock
 
     def ledger(self, account: str) -> Ledger:
-        """Return an account's ledger, a new one at its first use."""
+        """Return the ledger of an account; creates it on first use."""
         return self.ledgers.setdefault(account, Ledger())
 
     def budget(self, account: str) -> records.Budget:
-        """Return an account's budget as last seen."""
+        """Return the budget of an account in the last read or written record."""
         return self.saved.record['budgets'].get(account) or records.new_budget()
 
     def stop(self, reason: str) -> None:
-        """Admit nothing more; whoever waits is told at once."""
+        """Stop admitting requests and wake those that wait."""
         self.stop_reason = self.stop_reason or reason
         self.notify_change()
 
     def notify_change(self) -> None:
-        """Wake whoever waits for headroom."""
+        """Wake the requests that wait for headroom."""
         self._changed.set()
         self._changed = anyio.Event()
 
     def next_change(self) -> anyio.Event:
-        """Return the event of the next change."""
+        """Return the event that the next change will set."""
         return self._changed
 
     def request_write(self) -> None:
-        """Have the record written now."""
+        """Wake the task that writes the record."""
         self._wake.set()
 
     async def wait_until_due(self, interval_s: float) -> None:
-        """Wait until the record is to be written."""
+        """Wait until a write is requested, at most ``interval_s`` seconds."""
         with anyio.move_on_after(interval_s):
             await self._wake.wait()
         self._wake = anyio.Event()
 
     def apply_saved(self, saved: Saved, now_unix_s: float) -> None:
-        """Take in a record as it was read or written just now."""
+        """Store a record that was read or written at ``now_unix_s``."""
         self.saved = saved
         self._seen_unix_s = now_unix_s
         self.reachable = True
@@ -93,12 +94,12 @@
             self._sealed_unix_s.setdefault(name, now_unix_s)
 
     def request_reread(self) -> None:
-        """Have the record read now: another holder has just changed it."""
+        """Have the record read again now, because another holder has just changed it."""
         self._seen_unix_s = 0
         self.request_write()
 
     def sealed_since_unix_s(self, holder_epoch: HolderEpoch) -> float:
-        """Return when a passed epoch was seen here first; 0: never."""
+        """Return when a past epoch was first seen on this instance, or 0 if never."""
         return self._sealed_unix_s.get(records.sealed_key(*holder_epoch), 0)
 
 
--- a/packages/fleet/src/endivesaddle/fleet/budgets/holder.py
+++ b/packages/fleet/src/endivesaddle/fleet/budgets/holder.py
@@ -1,8 +1,8 @@
-"""The budgets of one router: the shards it holds, and how it comes to hold them.
+"""The budgets of one router: the shards that it holds and how it acquires them.
 
-Safety never rests on who is thought to hold a shard: whoever spends, spends
-below a ceiling that the store granted to its epoch.  Two holders at once cost
-headroom, not tokens.
+Safety doesn't depend on knowing which router holds a shard: every holder spends below a
+ceiling that the store has granted to its epoch.  Two simultaneous holders of a shard
+reduce the available headroom but can't overspend.
 """
 
 from collections.abc import Sequence
@@ -31,7 +31,7 @@
 
 
 class BudgetHolder:
-    """The port ``Budgets`` of one router, and the ``Sealer`` of its reservations."""
+    """Implementation of ``Budgets`` in a router, and the ``Sealer`` of its reservations."""
 
     def __init__(
         self,
@@ -42,7 +42,7 @@
         view: FleetView,
         clock: Clock,
     ) -> None:
-        """Hold nothing yet; ``run`` takes the shards."""
+        """Initialize with no shards; ``run`` acquires them."""
         self._identity = identity
         self._clock = clock
         self._settings = settings
@@ -56,7 +56,7 @@
 
     @property
     def claim_recovery(self) -> ClaimRecovery | None:
-        """The claims, which are told what ran under passed epochs."""
+        """The claims, which are informed about the runs under past epochs."""
         return self._recovery.claim_recovery
 
     @claim_recovery.setter
@@ -64,12 +64,12 @@
         self._recovery.claim_recovery = claim_recovery
 
     def handlers(self, handlers: Handlers) -> None:
-        """Answer the calls of other holders."""
+        """Register the handler for calls of other holders."""
         handlers.answer(rpcs.TRANSFER, self.transfer)
 
     async def run(self) -> None:
-        """Take the shards that are this router's, and keep them until cancelled."""
-        self._shard_manager.let_all_go()
+        """Acquire the shards assigned to this router and hold them until cancelled."""
+        self._shard_manager.stop_all()
         async with anyio.create_task_group() as tasks:
             while True:
                 self._keep_own(tasks)
@@ -79,12 +79,12 @@
     async def reserve(
         self, account: str, request_key: str, bound_tokens: int, deadline_unix_s: float
     ) -> Reserved | Refusal | NotHolder:
-        """Reserve the worst case, waiting up to the deadline where it may yet fit."""
+        """Reserve the worst case; wait until the deadline while it may still fit."""
         held = self._held(account)
         if held is None:
             return self._elsewhere(account)
         waiter = Waiter(request_key, bound_tokens, held.ledger(account).number)
-        if not self._admission.at_once(held, account, waiter):
+        if not self._admission.try_reserve(held, account, waiter):
             refused = await self._admission.wait(held, account, waiter, deadline_unix_s)
             if refused is not None:
                 return refused
@@ -94,7 +94,7 @@
         return Reserved(held.shard, held.data_centre, held.epoch, reservation.batch)
 
     def settle(self, account: str, request_key: str, epoch: int, used_tokens: int) -> int:
-        """Settle a request once; return the billed tokens, also when repeated."""
+        """Settle a request once; return the billed tokens, also on a repeated call."""
         shard = shard_of(account)
         held = self._shard_manager.of_epoch(shard, epoch)
         if held is None:
@@ -114,7 +114,7 @@
         return 0 if billed is None else billed
 
     def held(self, account: str) -> Reserved | NotHolder:
-        """Tell under which epoch this instance holds the account's shard."""
+        """Return the epoch under which this instance holds the account's shard."""
         held = self._held(account)
         if held is None:
             return self._elsewhere(account)
@@ -122,19 +122,19 @@
         return Reserved(*place, held.batch, held.since_unix_s)
 
     def recovered(self, account: str) -> bool:
-        """Tell whether all claims under older epochs of the shard are known here."""
+        """Return whether all claims under older epochs of the shard are known on this instance."""
         held = self._held(account)
         return held is not None and held.recovered
 
     def ready(self) -> bool:
-        """Tell whether all shards that are this router's are held and recovered."""
+        """Return whether all shards assigned to this router are held and recovered."""
         held = [
             self._shard_manager.held_shards.get(shard) for shard in self.assignment.own_shards()
         ]
         return all(shard and not shard.stop_reason and shard.recovered for shard in held)
 
     def holder_address(self, account: str, data_centre: str) -> str:
-        """Return the address of the account's holder in a data centre ('' unknown)."""
+        """Return the address of the account's holder in a data centre, or '' if unknown."""
         return self.assignment.address(shard_of(account), data_centre)
 
     def confirmed_unix_s(self, account: str) -> float:
@@ -143,15 +143,15 @@
         return 0 if held is None else held.seen_unix_s
 
     async def transfer(self, message: holders_pb2.TransferRequest) -> holders_pb2.TransferReply:
-        """Give headroom to another data centre's holder."""
+        """Transfer headroom to the holder in another data centre."""
         return await self._transfers.give(message)
 
     async def seal(self, message: holders_pb2.SealRequest) -> Sequence[holders_pb2.Record]:
-        """Admit nothing more under the sealed epochs; report their reservations."""
+        """Stop admitting under the sealed epochs and return their reservations."""
         return self._shard_manager.seal(message)
 
     def dump(self) -> dict[str, Any]:
-        """Return the state of all shards held here."""
+        """Return the state of all shards held by this instance."""
         return describe(self._shard_manager)
 
     def _held(self, account: str) -> HeldShard | None:
@@ -162,7 +162,7 @@
         held = self._held(account)
         usage = None if held is None else held.past_epochs.get(epoch)
         if held is None or usage is None:
-            # Its epoch is done with: all that ran under it is counted by now.
+            # All usage under this epoch has already been counted.
             return used_tokens
         events.LATE_SETTLE.log(account=account, request_key=request_key, epoch=epoch)
         billed = usage.settle(account, request_key, used_tokens)
@@ -171,8 +171,8 @@
 
     def _elsewhere(self, account: str) -> NotHolder:
         address = self.holder_address(account, self._identity.data_centre)
-        known = '' if address == self._identity.address else address
-        return NotHolder('this router does not hold the shard of the account', known)
+        other = '' if address == self._identity.address else address
+        return NotHolder('this router does not hold the shard of the account', other)
 
     def _keep_own(self, tasks: TaskGroup) -> None:
         for shard in self.assignment.own_shards():
--- a/packages/fleet/src/endivesaddle/fleet/budgets/ledger.py
+++ b/packages/fleet/src/endivesaddle/fleet/budgets/ledger.py
@@ -1,7 +1,7 @@
-"""One account under one epoch of a holder, in memory.
+"""The in-memory state of one account under one epoch of a holder.
 
-What may be spent grows only by a confirmed write of the holder's own (or a
-direct transfer), and shrinks before a write that gives tokens back is sent.
+The ceiling grows only after a confirmed write by the holder itself or a direct transfer.
+It shrinks before a write that returns tokens is sent.
 """
 
 from typing import NamedTuple
@@ -10,7 +10,7 @@
 
 
 class Reservation(NamedTuple):
-    """A reserved worst case; ``batch`` is the one that it was made in."""
+    """An open reservation of a request's worst case, made in ``batch``."""
 
     bound_tokens: int
     batch: int
@@ -18,7 +18,7 @@
 
 
 class Ended(NamedTuple):
-    """A settled reservation, kept so that a repeated report bills nothing."""
+    """A settled reservation, kept so that a repeated report is not billed again."""
 
     billed_tokens: int
     batch: int
@@ -26,7 +26,7 @@
 
 
 class DirectTransfer(NamedTuple):
-    """A direct transfer that the store doesn't show yet; the other side and its epoch."""
+    """A direct transfer not recorded in the store yet, with the other holder and its epoch."""
 
     data_centre: str
     epoch: int
@@ -34,7 +34,7 @@
 
 
 class Waiter(NamedTuple):
-    """A request that waits for headroom; ``number`` counts the account's reservations so far."""
+    """A request that waits for headroom; ``number`` is the reservation count on its arrival."""
 
     request_key: str
     bound_tokens: int
@@ -42,15 +42,15 @@
 
 
 class PendingTransfers:
-    """Direct transfers of one account that the store doesn't show yet.
+    """Direct transfers of one account that are not recorded in the store yet.
 
-    ``unanswered`` are questions without an answer; they are written as not received.
-    ``acknowledged`` are given ones that a write of this holder has marked as seen, with what
-    was received: the receiver may have removed them before the write was confirmed.
+    ``unanswered`` are requests without a reply; they are recorded as not received.
+    ``acknowledged`` are given transfers that a write of this holder has acknowledged, with
+    the received tokens: the receiver may remove them before that write is confirmed.
     """
 
     def __init__(self) -> None:
-        """Start without any."""
+        """Initialize with no transfers."""
         self.received: dict[str, DirectTransfer] = {}
         self.given: dict[str, DirectTransfer] = {}
         self.unanswered: dict[str, DirectTransfer] = {}
@@ -60,7 +60,7 @@
 
     @property
     def tokens(self) -> int:
-        """Return what was taken less what was given."""
+        """The received tokens minus the given ones."""
         received = sum(transfer.tokens for transfer in self.received.values())
         return received - sum(transfer.tokens for transfer in self.given.values())
 
@@ -69,15 +69,15 @@
     """Reservations, settlements and the ceiling of one account."""
 
     def __init__(self) -> None:
-        """Start with nothing granted."""
-        self.stored = 0
-        self.yielding = 0
+        """Initialize with no tokens granted."""
+        self.granted = 0
+        self.returning = 0
         self.settled = 0
         self.reserved = 0
         self.open: dict[str, Reservation] = {}
         self.ended: dict[str, Ended] = {}
         self.pending = PendingTransfers()
-        self.offering = 0
+        self.offered = 0
         self.folding = 0
         self.queue: list[Waiter] = []
         self.number = 0
@@ -85,26 +85,26 @@
         self.rate_tokens_per_s = 0.0
         self.used_unix_s = 0.0
         self._used_by_batch: dict[int, int] = {}
-        self._closed = 0
-        self._since_measured = 0
+        self._settled_in_closed_batches = 0
+        self._settled_since_update = 0
 
     @property
     def ceiling(self) -> int:
-        """What may be spent at most under this epoch."""
-        return self.stored - self.yielding + self.pending.tokens
+        """The maximum number of tokens that may be spent under this epoch."""
+        return self.granted - self.returning + self.pending.tokens
 
     @property
     def headroom(self) -> int:
-        """What a further reservation may take."""
+        """The tokens available for further reservations."""
         return self.ceiling - self.settled - self.reserved
 
     @property
     def queued_tokens(self) -> int:
-        """Return what all waiting requests ask for."""
+        """The tokens that all waiting requests need together."""
         return sum(waiter.bound_tokens for waiter in self.queue)
 
     def reserve(self, request_key: str, bound_tokens: int, batch: int) -> bool:
-        """Reserve a worst case if it fits."""
+        """Reserve the worst case of a request; return False if it exceeds the headroom."""
         if bound_tokens > self.headroom:
             return False
         self.number += 1
@@ -113,8 +113,8 @@
         self.reserved += bound_tokens
         return True
 
-    def since(self, waiter: Waiter) -> int:
-        """Return the open reservations that were made after a waiter came, in tokens."""
+    def reserved_after(self, waiter: Waiter) -> int:
+        """Return the tokens of open reservations made after the arrival of a waiting request."""
         return sum(
             reservation.bound_tokens
             for reservation in self.open.values()
@@ -122,10 +122,10 @@
         )
 
     def settle(self, request_key: str, used_tokens: int, now_unix_s: float) -> int | None:
-        """Bill an open reservation once; return what is billed, None when unknown.
+        """Bill an open reservation once; return the billed tokens, or None if unknown.
 
-        More than the reservation is never billed: the ceiling was checked against
-        the reservation, so a larger bill could exceed it.
+        The bill never exceeds the reservation: the ceiling was checked against the
+        reservation, so a larger bill could exceed the ceiling.
         """
         reservation = self.open.pop(request_key, None)
         if reservation is None:
@@ -134,43 +134,43 @@
         billed = max(0, min(used_tokens, reservation.bound_tokens))
         self.reserved -= reservation.bound_tokens
         self.settled += billed
-        self._since_measured += billed
+        self._settled_since_update += billed
         batch = reservation.batch
         self._used_by_batch[batch] = self._used_by_batch.get(batch, 0) + billed
         self.ended[request_key] = Ended(billed, batch, now_unix_s)
         return billed
 
     def checkpoint(self, batch: int) -> tuple[int, int]:
-        """Return the settled tokens of all batches before one, and that one.
+        """Return the settled tokens of all batches before the first open one, and its number.
 
-        It is the first batch with an open reservation, or ``batch``, the current one.
+        The first open batch is the first with an open reservation, else the current ``batch``.
         """
         first = min((entry.batch for entry in self.open.values()), default=batch)
-        for closed in [known for known in self._used_by_batch if known < first]:
-            self._closed += self._used_by_batch.pop(closed)
-        return self._closed, first
+        for closed in [other for other in self._used_by_batch if other < first]:
+            self._settled_in_closed_batches += self._used_by_batch.pop(closed)
+        return self._settled_in_closed_batches, first
 
-    def folded(self) -> None:
-        """Start anew after the settled tokens were added to the account's spent ones."""
+    def confirm_fold(self) -> None:
+        """Drop the settled tokens that were added to the account's spent tokens."""
         self.settled -= self.folding
-        self._closed -= self.folding
+        self._settled_in_closed_batches -= self.folding
         self.folding = 0
 
     @property
     def is_done(self) -> bool:
-        """Tell whether nothing is reserved, waiting or under way."""
+        """Whether there are no reservations, waiting requests or pending transfers."""
         pending = self.pending
-        moving = pending.received or pending.given or pending.unanswered
-        return not (self.open or self.queue or moving or self._used_by_batch)
+        transfers = pending.received or pending.given or pending.unanswered
+        return not (self.open or self.queue or transfers or self._used_by_batch)
 
-    def measure(self, elapsed_s: float) -> None:
-        """Update the rate of spending over the time since the last call."""
-        rate = self._since_measured / elapsed_s
-        self._since_measured = 0
+    def update_rate(self, elapsed_s: float) -> None:
+        """Update the spending rate from the tokens settled in the last ``elapsed_s`` seconds."""
+        rate = self._settled_since_update / elapsed_s
+        self._settled_since_update = 0
         self.rate_tokens_per_s += _RATE_WEIGHT * (rate - self.rate_tokens_per_s)
 
     def forget(self, before_unix_s: float, first_batch: int) -> None:
-        """Forget settled requests that are old and counted in the store."""
+        """Drop settled requests that are old and already counted in the store."""
         old = [
             request_key
             for request_key, ended in self.ended.items()
--- a/packages/fleet/src/endivesaddle/fleet/budgets/min_epochs.py
+++ b/packages/fleet/src/endivesaddle/fleet/budgets/min_epochs.py
@@ -1,9 +1,10 @@
-"""The lowest epochs that may still start runs, in one small key for each shard.
+"""The lowest epochs under which runs may still start, one store key for each shard.
 
-A sidecar that starts anew knows of no seal.  It reads these keys before its first
-run: a holder writes one before it seals, and frees tokens only after, so a sidecar
-either was sealed itself or reads the floor.  One key for all shards would be
-written by all takeovers of a lost router at once, and each write but one lost.
+A restarted sidecar has lost its seals and reads these keys before its first run.  A
+holder writes the key before it seals an epoch, and frees tokens only afterwards, so
+each sidecar has either received the seal or reads the minimum epoch.  A single key for
+all shards would be written by all takeovers of a failed router at the same time, and all
+but one of these writes would conflict.
 """
 
 import msgspec
@@ -19,9 +20,9 @@
 
 
 async def read_min_epochs(store: Store, deadline_unix_s: float) -> dict[tuple[int, str], int]:
-    """Return the lowest epoch by shard and data centre.
+    """Return the minimum epoch by shard and data centre.
 
-    Raises ``StoreUnreachable``, or ``BadRecord`` for a key that can't be read.
+    Raises ``StoreUnreachable``, or ``BadRecord`` for a value that can't be decoded.
     """
     min_epochs: dict[tuple[int, str], int] = {}
     for stored in await store.list(PREFIX, deadline_unix_s):
@@ -35,9 +36,9 @@
 async def raise_min_epoch(
     store: Store, clock: Clock, place: tuple[int, str], epoch: int, deadline_unix_s: float
 ) -> None:
-    """Raise the floor of a shard in a data centre; never lowers one.
+    """Raise the minimum epoch of a shard in a data centre; never lower it.
 
-    Returns when it is certain to be in the store; raises ``StoreUnreachable`` or
+    Returns once the value is confirmed in the store; raises ``StoreUnreachable`` or
     ``RecordWriteUnconfirmed``.
     """
     shard, data_centre = place
@@ -52,15 +53,17 @@
         try:
             written = await store.swap(key, raw, version, deadline_unix_s)
         except StoreWriteUnconfirmed:
-            # It may have been written: the next look tells.
+            # It may have been written: the next read shows that.
             continue
         if not isinstance(written, Conflict):
             return
-    raise RecordWriteUnconfirmed(f'the floor of shard {shard} was not raised in time')
+    raise RecordWriteUnconfirmed(f'the minimum epoch of shard {shard} was not raised in time')
 
 
 def _decode(stored: Stored) -> dict[str, int]:
     try:
         return _decoder.decode(stored.value or b'{}')
     except msgspec.DecodeError as error:
-        raise BadRecord(f'the floor {stored.key} is broken: {error}') from error
+        raise BadRecord(
+            f'the minimum epochs at {stored.key} can not be decoded: {error}'
+        ) from error
--- a/packages/fleet/src/endivesaddle/fleet/budgets/record_format.py
+++ b/packages/fleet/src/endivesaddle/fleet/budgets/record_format.py
@@ -1,4 +1,4 @@
-"""How a shard's record stands in the store, and what makes one unusable."""
+"""The stored format of a shard's record and its validation."""
 
 import zlib
 from typing import TypedDict
@@ -8,10 +8,10 @@
 from endivesaddle.fleet.budgets import records
 from endivesaddle.fleet.budgets.errors import BadRecord
 
-MOST_BYTES = 900_000
-"""Below the store's limit of a megabyte for a value, with room for a takeover."""
-_LEVEL = 1
-_OPEN = b'{'
+MAX_BYTES = 900_000
+"""Below the store's limit of 1 MB for a value, with room for a takeover."""
+_COMPRESSION_LEVEL = 1
+_JSON_START = b'{'
 
 
 class _StoredBudget(TypedDict, total=False):
@@ -41,9 +41,9 @@
 
 
 def decode(raw: bytes) -> records.ShardRecord:
-    """Parse and check a record; raise ``BadRecord`` with the cause."""
+    """Decode and check a record; raises ``BadRecord`` with the cause."""
     try:
-        text = raw if raw.startswith(_OPEN) else zlib.decompress(raw)
+        text = raw if raw.startswith(_JSON_START) else zlib.decompress(raw)
         version = _version_decoder.decode(text)['format']
     except (msgspec.DecodeError, zlib.error) as error:
         raise BadRecord(f'not a record: {error}') from error
@@ -52,10 +52,10 @@
     try:
         stored = _decoder.decode(text)
     except msgspec.DecodeError as error:
-        raise BadRecord(f'broken: {error}') from error
+        raise BadRecord(f'invalid: {error}') from error
     budgets = {
-        name: records.Budget(**{**records.new_budget(), **kept})
-        for name, kept in stored['budgets'].items()
+        name: records.Budget(**{**records.new_budget(), **value})
+        for name, value in stored['budgets'].items()
     }
     record = records.ShardRecord(**{**stored, 'budgets': budgets})
     check(record)
@@ -63,23 +63,23 @@
 
 
 def encode(record: records.ShardRecord) -> bytes:
-    """Check and write out a record; raise ``BadRecord`` rather than write a bad one."""
+    """Check and encode a record; raises ``BadRecord`` if it is invalid or too large."""
     check(record)
-    slim = {
-        name: {field: kept for field, kept in budget.items() if kept}
+    non_empty = {
+        name: {field: value for field, value in budget.items() if value}
         for name, budget in record['budgets'].items()
     }
-    raw = zlib.compress(_encoder.encode({**record, 'budgets': slim}), _LEVEL)
-    if len(raw) > MOST_BYTES:
-        raise BadRecord(f'{len(raw)} bytes are more than {MOST_BYTES}')
+    raw = zlib.compress(_encoder.encode({**record, 'budgets': non_empty}), _COMPRESSION_LEVEL)
+    if len(raw) > MAX_BYTES:
+        raise BadRecord(f'the record has {len(raw)} bytes, the maximum is {MAX_BYTES}')
     return raw
 
 
 def check(record: records.ShardRecord) -> None:
-    """Raise ``BadRecord`` where the invariant doesn't hold.
+    """Raise ``BadRecord`` if the record violates the invariant.
 
     A record that grants more than was paid in would overspend without any further
-    fault, so whoever meets one stops, and leaves it for an operator to look at.
+    failure.  An instance that finds one stops and leaves it for an operator to inspect.
     """
     for account, budget in record['budgets'].items():
         if records.free_tokens(budget) < 0:
@@ -91,7 +91,7 @@
             *budget['stranded'],
         ]
         if any(not 0 <= entry.settled <= entry.ceiling for entry in entries):
-            raise BadRecord(f'{account}: settled is not within its ceiling')
+            raise BadRecord(f'{account}: the settled tokens exceed the ceiling or are negative')
         transferred = min((transfer.tokens for transfer in budget['moves'].values()), default=0)
         if budget['spent'] < 0 or transferred < 0 or min(budget['top_ups'].values(), default=0) < 0:
             raise BadRecord(f'{account}: negative tokens')
--- a/packages/fleet/src/endivesaddle/fleet/budgets/records.py
+++ b/packages/fleet/src/endivesaddle/fleet/budgets/records.py
@@ -1,9 +1,9 @@
 """The record of one budget shard in the store.
 
-One key holds a shard: one compare-and-swap then moves tokens between data
-centres, and no transaction over keys is needed.  Grants and stranded entries
-are arrays in JSON, empty fields are left out and the whole is compressed: at 20,000
-budgets the store's traffic would else be most of what a daemon may send.  A record
+One key holds a whole shard, so that one compare-and-swap moves tokens between data
+centres without a transaction over several keys.  Grants and stranded entries are JSON
+arrays, empty fields are omitted and the record is compressed: with 20,000 budgets the
+store traffic would otherwise use most of the bandwidth that a daemon may use.  A record
 that an operator repairs by hand may be plain JSON.
 The invariant is checked after each read and before each write::
 
@@ -22,10 +22,10 @@
 
 
 class Grant(NamedTuple):
-    """What one data centre's holder may spend under its epoch.
+    """The tokens that the holder in one data centre may spend under its epoch.
 
-    ``settled`` counts the reservations of batches before ``batch`` and no
-    other, so that nothing is counted twice when the rest is collected.
+    ``settled`` counts the reservations of batches before ``batch`` and no others, so
+    that nothing is counted twice when the usage of the later batches is collected.
     """
 
     ceiling: int
@@ -34,7 +34,7 @@
 
 
 class Stranded(NamedTuple):
-    """A grant of an epoch that was taken over; it counts as spent until released."""
+    """The grant of a past epoch; it counts as spent until it is released."""
 
     data_centre: str
     epoch: int
@@ -44,10 +44,10 @@
 
 
 class RecordedTransfer(NamedTuple):
-    """A direct transfer as the receiver entered it; 0 tokens: it was never received.
+    """A direct transfer as recorded by the receiver; 0 tokens means it was not received.
 
-    ``acknowledged`` is set by the donor, which then counts it no more; the receiver removes
-    it afterwards, so that neither side can apply it twice after a lost answer.
+    ``acknowledged`` is set by the donor, which then stops counting the transfer.  The
+    receiver removes it afterwards, so that neither can apply it twice after a lost reply.
     """
 
     tokens: int
@@ -55,10 +55,10 @@
 
 
 class Holder(TypedDict):
-    """Who holds the shard in a data centre; ``epoch`` is the fencing token.
+    """The holder of the shard in a data centre; ``epoch`` is the fencing token.
 
     ``fleet`` is the fingerprint of all sidecars since batch ``fleet_batch``;
-    ``others`` are the epochs of the other data centres to which it may give.
+    ``others`` are the epochs of other data centres to which it may transfer tokens.
     """
 
     epoch: int
@@ -71,10 +71,10 @@
 
 
 class Budget(TypedDict):
-    """One client account: top-ups by id, and where the tokens are.
+    """The budget of one client account: its top-ups and where the tokens are.
 
     ``folded_ids`` are 8-byte hashes of old top-up ids, whose tokens are summed in
-    ``folded_tokens``.  ``moves`` are direct transfers by id; see ``moves``.
+    ``folded_tokens``.  ``moves`` are direct transfers by id; see ``direct_transfers``.
     """
 
     top_ups: dict[str, int]
@@ -87,7 +87,7 @@
 
 
 class ShardRecord(TypedDict):
-    """The whole record; ``sealed`` are past holders, until what ran under them is known."""
+    """The whole record; ``sealed`` has past holders until all their runs are known."""
 
     format: int
     holders: dict[str, Holder]
@@ -96,12 +96,12 @@
 
 
 def key_of(shard: int) -> str:
-    """Return the store's key of a shard."""
+    """Return the store key of a shard."""
     return f'budgets/{shard:0{len(str(SHARD_COUNT))}d}'
 
 
 def new_record() -> ShardRecord:
-    """Return the record of a shard that nobody holds."""
+    """Return the record of a shard without a holder."""
     return ShardRecord(format=FORMAT, holders={}, sealed={}, budgets={})
 
 
@@ -118,36 +118,36 @@
 
 
 def total_tokens(budget: Budget) -> int:
-    """Return what was ever paid in."""
+    """Return all tokens ever paid in."""
     return budget['folded_tokens'] + sum(budget['top_ups'].values())
 
 
 def bound_tokens(budget: Budget) -> int:
-    """Return what is granted, stranded or spent: no longer free."""
+    """Return the tokens that are granted, stranded or spent."""
     granted = sum(grant.ceiling for grant in budget['grants'].values())
     stranded = sum(entry.ceiling for entry in budget['stranded'])
     return granted + stranded + budget['spent']
 
 
 def free_tokens(budget: Budget) -> int:
-    """Return what may still be granted."""
+    """Return the tokens that may still be granted."""
     return total_tokens(budget) - bound_tokens(budget)
 
 
 def known_spent_tokens(budget: Budget) -> int:
-    """Return what is spent for certain, wherever it was."""
+    """Return the tokens known to be spent, in all data centres."""
     granted = sum(grant.settled for grant in budget['grants'].values())
     stranded = sum(entry.settled for entry in budget['stranded'])
     return granted + stranded + budget['spent']
 
 
 def id_hash(top_up_id: str) -> bytes:
-    """Return the hash under which a folded top-up id is known."""
+    """Return the hash that is stored for a folded top-up id."""
     return xxhash.xxh3_64_digest(top_up_id.encode())
 
 
 def has_top_up(budget: Budget, top_up_id: str) -> bool:
-    """Tell whether a top-up was counted, also when its id is folded."""
+    """Return whether a top-up was counted, also if its id has been folded."""
     if top_up_id in budget['top_ups']:
         return True
     wanted = id_hash(top_up_id)
--- a/packages/fleet/src/endivesaddle/fleet/budgets/records_store.py
+++ b/packages/fleet/src/endivesaddle/fleet/budgets/records_store.py
@@ -1,4 +1,4 @@
-"""Read and write shard records by compare-and-swap."""
+"""Read shard records and write them by compare-and-swap."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -12,31 +12,31 @@
 from endivesaddle.fleet.ports import Store
 from endivesaddle.fleet.sentinels import Absent, Conflict
 
-_FIRST_PAUSE_S = 0.002
-_LONGEST_PAUSE_S = 0.5
+_FIRST_DELAY_S = 0.002
+_MAX_DELAY_S = 0.5
 Change = Callable[[records.ShardRecord], bool]
-"""Change a record in place; False when there is nothing to write."""
+"""Change a record in place; returns False if there is nothing to write."""
 
 
 class Saved(NamedTuple):
-    """A record as it stands in the store."""
+    """A record as it is in the store, with its version."""
 
     record: records.ShardRecord
     version: int
 
 
 class RecordStore:
-    """Shard records over the port ``Store``; ``written_bytes`` and ``read_bytes`` count."""
+    """Shard records in a ``Store``; counts the bytes read and written."""
 
     def __init__(self, store: Store, clock: Clock) -> None:
-        """Start with nothing read."""
+        """Initialize with both byte counts at 0."""
         self._store = store
         self._clock = clock
         self.written_bytes = 0
         self.read_bytes = 0
 
     async def read(self, shard: int, deadline_unix_s: float) -> Saved:
-        """Return a record; a missing one is empty, at version 0."""
+        """Return a record, or an empty one with version 0 if it doesn't exist."""
         stored = await self._store.read(records.key_of(shard), deadline_unix_s)
         if isinstance(stored, Absent) or stored.value is None:
             return Saved(records.new_record(), 0)
@@ -50,31 +50,31 @@
         deadline_unix_s: float,
         known: Saved | None = None,
     ) -> Saved:
-        """Apply ``change`` until it is written; ``known`` spares the first read.
+        """Apply ``change`` and write the record, retrying; ``known`` saves the first read.
 
-        ``change`` is applied to a fresh record each time, and must say the same
-        whether or not an earlier try of it took effect: a lost answer is resolved
-        by reading back and applying it again.  Raises ``RecordWriteUnconfirmed`` where a try
-        may have taken effect, ``StoreUnreachable`` where none did.
+        Each attempt applies ``change`` to the record read last.  It has to be idempotent,
+        whether or not an earlier attempt took effect: a lost reply is resolved by reading
+        the record and applying the change again.  Raises ``RecordWriteUnconfirmed`` if
+        an attempt may have taken effect, ``StoreUnreachable`` if none did.
         """
         attempt = _Attempt(shard)
         while True:
             with attempt:
-                saved = await self._try(shard, change, deadline_unix_s, known)
+                saved = await self._attempt_update(shard, change, deadline_unix_s, known)
                 if saved is not None:
                     return saved
             known = None
             if self._clock.now_s() >= deadline_unix_s:
-                raise attempt.late()
-            # An answer was lost or another wrote first: don't add to what slows the store.
-            await anyio.sleep(attempt.pause_s())
+                raise attempt.timeout_error()
+            # A reply was lost or another write came first: don't add load to a slow store.
+            await anyio.sleep(attempt.delay_s())
 
-    async def _try(
+    async def _attempt_update(
         self, shard: int, change: Change, deadline_unix_s: float, known: Saved | None
     ) -> Saved | None:
         start = await self.read(shard, deadline_unix_s) if known is None else known
-        # The cached record stays as it is in the store, also when this write is lost.
-        record = copied(start.record)
+        # Keep the cached record equal to the stored one, also if this write fails.
+        record = copy_record(start.record)
         if not change(record):
             return start
         raw = record_format.encode(record)
@@ -86,8 +86,8 @@
         return Saved(record, stored.version)
 
 
-def copied(record: records.ShardRecord) -> records.ShardRecord:
-    """Return a copy that can be changed; grants are immutable and shared."""
+def copy_record(record: records.ShardRecord) -> records.ShardRecord:
+    """Return a copy that can be modified; the immutable grants are shared."""
     budgets = {
         account: records.Budget(
             top_ups=dict(budget['top_ups']),
@@ -109,31 +109,33 @@
 
 
 class _Attempt:
-    """Remember whether a write may have taken effect, and turn errors accordingly."""
+    """Track whether a write may have taken effect, and convert errors accordingly."""
 
     def __init__(self, shard: int) -> None:
         self._shard = shard
-        self._doubtful = False
-        self._tries = 0
+        self._may_have_taken_effect = False
+        self._attempts = 0
 
     def __enter__(self) -> None:
-        """Begin one try."""
-        self._tries += 1
+        """Count one attempt."""
+        self._attempts += 1
 
     def __exit__(self, _kind: object, error: BaseException | None, _trace: object) -> bool:
         if isinstance(error, StoreWriteUnconfirmed):
-            self._doubtful = True
+            self._may_have_taken_effect = True
             return True
-        if self._doubtful and isinstance(error, (StoreUnreachable, BadRecord)):
-            raise self.late() from error
+        if self._may_have_taken_effect and isinstance(error, (StoreUnreachable, BadRecord)):
+            raise self.timeout_error() from error
         return False
 
-    def pause_s(self) -> float:
-        """Return the seconds to wait before the next try, growing."""
-        return min(_LONGEST_PAUSE_S, _FIRST_PAUSE_S * 2**self._tries)
+    def delay_s(self) -> float:
+        """Return the seconds to wait before the next attempt; they double each time."""
+        return min(_MAX_DELAY_S, _FIRST_DELAY_S * 2**self._attempts)
 
-    def late(self) -> FleetError:
-        """Return the error of an update that ran out of time."""
-        if self._doubtful:
+    def timeout_error(self) -> FleetError:
+        """Return the error for an update that passed its deadline."""
+        if self._may_have_taken_effect:
             return RecordWriteUnconfirmed(f'shard {self._shard} may have been written')
-        return StoreUnreachable(f'shard {self._shard} was not written in time: others wrote it')
+        return StoreUnreachable(
+            f'shard {self._shard} was not written in time: other writes came first'
+        )
--- a/packages/fleet/src/endivesaddle/fleet/budgets/shard_manager.py
+++ b/packages/fleet/src/endivesaddle/fleet/budgets/shard_manager.py
@@ -1,4 +1,4 @@
-"""Take shards, keep their records written, and let them go when another takes over."""
+"""Acquire shards, write their records, and release them when another router takes over."""
 
 import anyio
 
@@ -23,7 +23,7 @@
 
 
 class ShardManager:
-    """The shards of one router; ``held_shards`` has None for one that is being taken."""
+    """The shards of one router; in ``held_shards`` None means that one is being acquired."""
 
     def __init__(
         self,
@@ -35,8 +35,8 @@
         recovery: Recovery,
         assignment: ShardAssignment,
     ) -> None:
-        """Keep nothing yet; ``recovery`` learns of passed epochs."""
-        self._responsible = assignment
+        """Initialize with no shards; ``recovery`` collects the usage of past epochs."""
+        self._assignment = assignment
         self.recovery = recovery
         self._settings = settings
         self._identity = identity
@@ -50,8 +50,8 @@
         self._min_epochs: dict[tuple[int, str], int] = {}
 
     async def keep(self, shard: int) -> None:
-        """Hold one shard until its epoch is passed or its record is bad."""
-        held = await self._take(shard)
+        """Hold one shard until its epoch is superseded or its record is unusable."""
+        held = await self._acquire(shard)
         if held is not None:
             self.held_shards[shard] = held
             events.TAKEN_OVER.log(shard=shard, epoch=held.epoch)
@@ -60,27 +60,27 @@
             await anyio.sleep(self._backoff.lost(shard, self._clock.now_s()))
         self.held_shards.pop(shard)
 
-    def let_all_go(self) -> None:
-        """Stop admitting under all epochs had so far: their tasks have ended.
+    def stop_all(self) -> None:
+        """Stop admitting under all current epochs because their tasks have ended.
 
-        Where the background task broke off and was started again, a shard without its
-        task would admit for ever without writing what it spends.
+        After the background task has failed and was restarted, a shard without its
+        task would admit requests forever without writing their usage to the store.
         """
         for held in list(self.held_shards.values()):
             if held is not None:
-                held.stop('the task that kept the shard has ended')
+                held.stop('the task that held the shard has ended')
                 self._end(held)
         self.held_shards.clear()
 
     def of_epoch(self, shard: int, epoch: int) -> HeldShard | None:
-        """Return a shard as it is or was held here under an epoch."""
+        """Return a shard that this instance holds or held under an epoch, or None."""
         held = self.held_shards.get(shard)
         if held is not None and held.epoch == epoch:
             return held
         return self.past_shards.get((shard, epoch))
 
     async def write(self, held: HeldShard) -> None:
-        """Write what is due for one shard; whoever waits for headroom is told."""
+        """Write the record of one shard and wake the requests that wait for headroom."""
         async with held.lock:
             now_unix_s = self._clock.now_s()
             known = None if self._is_stale(held, now_unix_s) else held.saved
@@ -90,12 +90,12 @@
         held.notify_change()
 
     def seal(self, message: holders_pb2.SealRequest) -> list[holders_pb2.Record]:
-        """Stop admitting under sealed epochs; report what this instance knows of them."""
-        place = (message.shard, message.data_centre)
-        self._min_epochs[place] = max(self.min_epoch(*place), message.below_epoch)
+        """Stop admitting under sealed epochs; return the records known for them."""
+        key = (message.shard, message.data_centre)
+        self._min_epochs[key] = max(self.min_epoch(*key), message.below_epoch)
         own = message.data_centre == self._identity.data_centre
         report: list[holders_pb2.Record] = []
-        for held in self._ever_held(message.shard):
+        for held in self._all_held(message.shard):
             if not own:
                 report.extend(other_report(held, message.data_centre, message.below_epoch))
             elif held.epoch < message.below_epoch:
@@ -105,48 +105,48 @@
         return report
 
     def forget(self) -> None:
-        """Forget passed epochs that no successor is to ask for any more."""
+        """Drop past epochs that no successor can ask about any more."""
         oldest_unix_s = self._clock.now_s() - self._settings.records_kept_s
-        for place, ended_unix_s in list(self._ended_unix_s.items()):
+        for key, ended_unix_s in list(self._ended_unix_s.items()):
             if ended_unix_s < oldest_unix_s:
-                self.past_shards.pop(place, None)
+                self.past_shards.pop(key, None)
 
     def min_epoch(self, shard: int, data_centre: str) -> int:
-        """Return the lowest epoch of a data centre that isn't sealed here."""
+        """Return the lowest epoch of a data centre that isn't sealed on this instance."""
         return self._min_epochs.get((shard, data_centre), 0)
 
-    def _ever_held(self, shard: int) -> list[HeldShard]:
-        held = [known for (kept, _), known in self.past_shards.items() if kept == shard]
+    def _all_held(self, shard: int) -> list[HeldShard]:
+        held = [past for (number, _), past in self.past_shards.items() if number == shard]
         current = self.held_shards.get(shard)
         return held if current is None else [*held, current]
 
     def _is_stale(self, held: HeldShard, now_unix_s: float) -> bool:
-        # An idle shard has nothing to write, and would never find out that the store is
-        # back: it went on refusing by a record from before the outage.
+        # An idle shard has nothing to write and would never notice that the store is
+        # available again: it kept refusing requests on a record from before the outage.
         if not held.reachable:
             return True
-        # Others write the record too, so a read first is cheaper than a lost swap.
+        # Other holders write the record too: reading first is cheaper than a failed swap.
         if any(ledger.queue for ledger in held.ledgers.values()):
-            # Whoever waits is refused by a record that was read after it came alone.
+            # A waiting request is refused only on a record that was read after its arrival.
             return held.seen_unix_s + self._settings.waiting_look_s <= now_unix_s
         fresh_s = self._settings.fresh_s if held.dirty else self._settings.look_s
         return held.seen_unix_s + fresh_s < now_unix_s
 
     async def _hold(self, held: HeldShard) -> None:
-        self._backoff.taken(held.shard, self._clock.now_s())
+        self._backoff.acquired(held.shard, self._clock.now_s())
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self.recovery.run, held)
-            looked_unix_s = self._clock.now_s()
+            last_write_unix_s = self._clock.now_s()
             while not held.stop_reason:
-                looked_unix_s = await self._due(held, looked_unix_s)
+                last_write_unix_s = await self._wait_until_due(held, last_write_unix_s)
                 await self.write(held)
             tasks.cancel_scope.cancel()
 
     def _end(self, held: HeldShard) -> None:
         events.EPOCH_PASSED.log(shard=held.shard, epoch=held.epoch, reason=held.stop_reason)
-        place = (held.shard, held.epoch)
-        self._ended_unix_s[place] = self._clock.now_s()
-        self.past_shards[place] = held
+        key = (held.shard, held.epoch)
+        self._ended_unix_s[key] = self._clock.now_s()
+        self.past_shards[key] = held
         self.held_shards[held.shard] = None
 
     async def _save(self, held: HeldShard, update: ShardUpdate, known: Saved | None) -> None:
@@ -154,59 +154,59 @@
         deadline_unix_s = began_unix_s + self._settings.store_timeout_s
         try:
             saved = await self.records.update(held.shard, update, deadline_unix_s, known)
-        except (EpochSuperseded, BadRecord) as end:
-            self._let_go(held, end)
-        except StoreUnreachable as unreachable:
+        except (EpochSuperseded, BadRecord) as error:
+            self._stop(held, error)
+        except StoreUnreachable as error:
             update.cancel()
-            self._trouble(held, unreachable)
-        except RecordWriteUnconfirmed as unsaved:
+            self._note_store_failure(held, error)
+        except RecordWriteUnconfirmed as error:
             held.write_unconfirmed = True
-            self._trouble(held, unsaved)
+            self._note_store_failure(held, error)
         else:
             update.confirm(saved.record)
-            # Where there was nothing to write the record was not looked at either.
+            # If there was nothing to write, the record was not read either.
             if saved is not known:
                 held.apply_saved(saved, began_unix_s)
 
-    def _let_go(self, held: HeldShard, end: FleetError) -> None:
-        if isinstance(end, BadRecord):
-            events.BAD_RECORD.log(shard=held.shard, reason=str(end))
-        held.stop(str(end))
+    def _stop(self, held: HeldShard, error: FleetError) -> None:
+        if isinstance(error, BadRecord):
+            events.BAD_RECORD.log(shard=held.shard, reason=str(error))
+        held.stop(str(error))
 
-    def _trouble(self, held: HeldShard, error: FleetError) -> None:
+    def _note_store_failure(self, held: HeldShard, error: FleetError) -> None:
         if held.reachable:
             events.STORE_FAILED.log(shard=held.shard, reason=str(error))
         held.reachable = False
 
-    async def _take(self, shard: int) -> HeldShard | None:
-        # With the store out of reach this lasts; the router that was away meanwhile may
-        # be back, and the two would take the shard from one another.
-        while shard in self._responsible.own_shards():
+    async def _acquire(self, shard: int) -> HeldShard | None:
+        # This takes as long as the store is unavailable.  The assigned router may have
+        # returned meanwhile, and the two would take the shard from each other.
+        while shard in self._assignment.own_shards():
             try:
-                return await self._try_to_take(shard)
-            except BadRecord as bad:
-                events.BAD_RECORD.log(shard=shard, reason=str(bad))
+                return await self._try_to_acquire(shard)
+            except BadRecord as error:
+                events.BAD_RECORD.log(shard=shard, reason=str(error))
             except _STORE_ERRORS as error:
                 events.STORE_FAILED.log(shard=shard, reason=str(error))
             await anyio.sleep(self._settings.store_timeout_s)
         return None
 
-    async def _try_to_take(self, shard: int) -> HeldShard:
+    async def _try_to_acquire(self, shard: int) -> HeldShard:
         now_unix_s = self._clock.now_s()
-        # Every epoch ever had, also a forgotten one: to take it up again without its
-        # ledgers would spend its ceiling a second time.
-        past = frozenset(epoch for kept, epoch in self._ended_unix_s if kept == shard)
+        # All epochs of this incarnation, also those dropped from memory: resuming one
+        # without its ledgers would spend its ceiling a second time.
+        past = frozenset(epoch for number, epoch in self._ended_unix_s if number == shard)
         fleet = sidecars.fingerprint(self._view)
         takeover = Takeover(self._identity, past, fleet, int(now_unix_s))
         deadline_unix_s = now_unix_s + self._settings.store_timeout_s
         saved = await self.records.update(shard, takeover, deadline_unix_s)
         return HeldShard(shard, self._identity.data_centre, saved, self._clock.now_s())
 
-    async def _due(self, held: HeldShard, looked_unix_s: float) -> float:
+    async def _wait_until_due(self, held: HeldShard, last_write_unix_s: float) -> float:
         await held.wait_until_due(self._settings.settle_interval_s)
         gap_s = self._settings.write_gap_s if held.reachable else self._settings.store_retry_s
-        await anyio.sleep(max(0, looked_unix_s + gap_s - self._clock.now_s()))
+        await anyio.sleep(max(0, last_write_unix_s + gap_s - self._clock.now_s()))
         now_unix_s = self._clock.now_s()
         for ledger in held.ledgers.values():
-            ledger.measure(max(now_unix_s - looked_unix_s, gap_s))
+            ledger.update_rate(max(now_unix_s - last_write_unix_s, gap_s))
         return now_unix_s
--- a/packages/fleet/src/endivesaddle/fleet/budgets/takeover_backoff.py
+++ b/packages/fleet/src/endivesaddle/fleet/budgets/takeover_backoff.py
@@ -1,31 +1,31 @@
-"""How long an instance waits before it takes a shard again that it lost."""
+"""The delay before an instance takes over again a shard that it has lost."""
 
-_FIRST_S = 2.0
-_LONGEST_S = 300.0
-_STEADY_S = 60.0
+_FIRST_DELAY_S = 2.0
+_MAX_DELAY_S = 300.0
+_RESET_AFTER_S = 60.0
 
 
 class TakeoverBackoff:
-    """Pauses that grow while a shard goes back and forth.
+    """Exponential backoff for a shard that two routers take from each other.
 
-    Two routers that don't see each other both believe to be responsible.  Each
-    would take the shard from the other for ever, and strand its tokens every time;
-    with growing pauses they do so a few times, and one of them keeps it meanwhile.
+    Two routers that don't see each other both consider the shard assigned to themselves.
+    Each would take it from the other forever and strand its tokens every time.  With
+    growing delays this happens only a few times, and one of them holds it in between.
     """
 
     def __init__(self) -> None:
-        """Start with no shard lost."""
-        self._taken_unix_s: dict[int, float] = {}
+        """Initialize with no lost shards."""
+        self._acquired_unix_s: dict[int, float] = {}
         self._losses: dict[int, int] = {}
 
-    def taken(self, shard: int, now_unix_s: float) -> None:
-        """Note that a shard was taken."""
-        self._taken_unix_s[shard] = now_unix_s
+    def acquired(self, shard: int, now_unix_s: float) -> None:
+        """Record that a shard was acquired."""
+        self._acquired_unix_s[shard] = now_unix_s
 
     def lost(self, shard: int, now_unix_s: float) -> float:
-        """Note that a shard was lost; return the seconds to wait."""
-        if self._taken_unix_s[shard] + _STEADY_S < now_unix_s:
+        """Record that a shard was lost; return the delay in seconds before the next takeover."""
+        if self._acquired_unix_s[shard] + _RESET_AFTER_S < now_unix_s:
             self._losses[shard] = 0
         losses = self._losses.get(shard, 0)
         self._losses[shard] = losses + 1
-        return min(_LONGEST_S, _FIRST_S * 2**losses)
+        return min(_MAX_DELAY_S, _FIRST_DELAY_S * 2**losses)
--- a/packages/fleet/src/endivesaddle/fleet/budgets/transfers.py
+++ b/packages/fleet/src/endivesaddle/fleet/budgets/transfers.py
@@ -171,7 +171,7 @@
         tokens = self._spare(held, ledger, message)
         if tokens <= 0:
             return holders_pb2.TransferReply(reason='no headroom')
-        ledger.offering = max(ledger.offering, tokens)
+        ledger.offered = max(ledger.offered, tokens)
         ledger.pending.gave_unix_s = self._clock.now_s()
         await self._shard_manager.write(held)
         reason = 'given back to the store' if held.reachable else 'the store is not reached'
--- a/packages/stand_ins/src/endivesaddle/stand_ins/budget_variants.py
+++ b/packages/stand_ins/src/endivesaddle/stand_ins/budget_variants.py
@@ -189,7 +189,7 @@
             return
         for account, budget in saved.record['budgets'].items():
             ledger = self._ledgers.setdefault(account, Ledger())
-            ledger.stored = records.total_tokens(budget) // self._routers
+            ledger.granted = records.total_tokens(budget) // self._routers
 
 
 VARIANTS.add('equal slices')(Variant(Slices, (OWN,)))
