--- a/packages/fleet/src/endivesaddle/fleet/budgets/assignment.py
+++ b/packages/fleet/src/endivesaddle/fleet/budgets/assignment.py
@@ -1,4 +1,4 @@
-"""Which router should hold a shard in a data centre, by rendezvous hashing."""
+"""Assignment of shards to the routers of a data centre by rendezvous hashing."""
 
 from collections.abc import Collection
 
@@ -10,37 +10,37 @@
 
 
 class ShardAssignment:
-    """The routers that should hold the shards, as this instance sees the fleet.
+    """The router assigned to each shard, based on this instance's view of the fleet.
 
-    ``shards`` are those that are held at all: all, but in tests of one.
+    ``shards`` are the shards in use: all of them, except in tests of a single shard.
     """
 
     def __init__(self, identity: Identity, view: FleetView) -> None:
-        """Look from one instance."""
+        """Initialize for the instance ``identity``."""
         self._identity = identity
         self._view = view
         self.shards: Collection[int] = range(SHARD_COUNT)
-        self._known: dict[str, tuple[tuple[str, ...], list[str]]] = {}
+        self._cache: dict[str, tuple[tuple[str, ...], list[str]]] = {}
 
     def own_shards(self) -> list[int]:
-        """Return the shards that this instance should hold."""
-        first = self._first(self._identity.data_centre)
+        """Return the shards assigned to this instance."""
+        assigned = self._assigned(self._identity.data_centre)
         own = self._identity.instance
-        return [shard for shard in self.shards if first and first[shard] == own]
+        return [shard for shard in self.shards if assigned and assigned[shard] == own]
 
     def address(self, shard: int, data_centre: str) -> str:
-        """Return the address of the router that should hold a shard; '' without any.
+        """Return the address of the router assigned to a shard, or '' if there is none.
 
-        Failure: the only router of a data centre is told to stop.  Symptom: it finds
-        no holder to settle its last requests with, and waits for one until its time
-        to stop is over.  As nobody took its shards over, it still answers for them.
+        Failure: the only router of a data centre has to stop.  Symptom: it finds no
+        holder with which to settle its last requests, and waits for one until its stop
+        times out.  No other router takes over its shards, so it still serves them itself.
         """
-        first = self._first(data_centre)
-        if not first:
+        assigned = self._assigned(data_centre)
+        if not assigned:
             own = self._identity
-            here = own.role == _ROUTER and own.data_centre == data_centre
-            return own.address if here else ''
-        return self._addresses(data_centre)[first[shard]]
+            is_local = own.role == _ROUTER and own.data_centre == data_centre
+            return own.address if is_local else ''
+        return self._addresses(data_centre)[assigned[shard]]
 
     def _addresses(self, data_centre: str) -> dict[str, str]:
         addresses = {
@@ -49,20 +49,20 @@
             if not self._view.leaving(member.instance)
         }
         own = self._identity
-        here = own.role == _ROUTER and own.data_centre == data_centre
-        if here and not self._view.leaving(own.instance):
+        is_local = own.role == _ROUTER and own.data_centre == data_centre
+        if is_local and not self._view.leaving(own.instance):
             addresses[own.instance] = own.address
         return addresses
 
-    def _first(self, data_centre: str) -> list[str]:
+    def _assigned(self, data_centre: str) -> list[str]:
         names = tuple(sorted(self._addresses(data_centre)))
-        known = self._known.get(data_centre)
-        if known is None or known[0] != names:
-            first = [
+        cached = self._cache.get(data_centre)
+        if cached is None or cached[0] != names:
+            assigned = [
                 rendezvous(f'budgets/{shard}', list(names))[0]
                 for shard in range(SHARD_COUNT)
                 if names
             ]
-            known = (names, first)
-            self._known[data_centre] = known
-        return known[1]
+            cached = (names, assigned)
+            self._cache[data_centre] = cached
+        return cached[1]
--- a/packages/fleet/src/endivesaddle/fleet/budgets/recovery.py
+++ b/packages/fleet/src/endivesaddle/fleet/budgets/recovery.py
@@ -1,4 +1,4 @@
-"""Seal passed epochs at all routers and sidecars, and learn what ran under them."""
+"""Seal past epochs at all routers and sidecars, and collect the runs under them."""
 
 import sys
 from collections.abc import Sequence
@@ -18,29 +18,29 @@
 from endivesaddle.fleet.ports import FleetView, Peers, Store
 from endivesaddle.wire import holders_pb2, members_pb2, rpcs
 
-_AT_ONCE = 64
-"""Seals under way at once: 1,200 instances shall not be asked in one burst."""
-_LONGEST_PAUSE_S = 30.0
-_NEVER = sys.maxsize
-"""A batch that never comes: of no batch is it known what ran."""
+_MAX_CONCURRENT = 64
+"""Concurrent seal calls, so that 1,200 instances aren't called in one burst."""
+_MAX_DELAY_S = 30.0
+_NO_BATCH = sys.maxsize
+"""A batch number that is never reached: the runs of no batch are known."""
 
 
 class Reply(NamedTuple):
-    """The answer of one instance to a seal."""
+    """The reply of one instance to a seal."""
 
     member: members_pb2.Member
     seal: holders_pb2.SealReply
 
 
 class Round(NamedTuple):
-    """One round of seals: who answered, and whether that was everyone in view."""
+    """The replies to one round of seals; ``everyone``: all known instances replied."""
 
     everyone: bool
     routers: Sequence[Reply]
     sidecars: Sequence[Reply]
 
     def fleet(self, servers: Sequence[str]) -> str:
-        """Return the fingerprint of the sidecars that answered."""
+        """Return the fingerprint of the sidecars that replied."""
         known = [
             (reply.member.server, reply.seal.instance, reply.seal.incarnation)
             for reply in self.sidecars
@@ -48,7 +48,7 @@
         return sidecars.fingerprint_of(known, servers)
 
     def held(self) -> set[HolderEpoch]:
-        """Return the holders that answered, with what they remember."""
+        """Return the holder epochs that are still in the memory of a router that replied."""
         return {
             HolderEpoch(record.data_centre, record.epoch)
             for reply in self.routers
@@ -58,7 +58,7 @@
 
 
 class Recovery:
-    """Learns what ran under the epochs before the one that a shard is held under."""
+    """Collects the runs under the epochs before the current one of a shard."""
 
     def __init__(
         self,
@@ -69,7 +69,7 @@
         view: FleetView,
         clock: Clock,
     ) -> None:
-        """Seal through ``peers`` whom ``view`` knows, and this instance itself."""
+        """Initialize; seals go through ``peers`` to the members of ``view`` and this instance."""
         self._settings = settings
         self._identity = identity
         self._store = store
@@ -79,18 +79,18 @@
         self.claim_recovery: ClaimRecovery | None = None
 
     async def run(self, held: HeldShard) -> None:
-        """Seal again and again until all is known, or the shard is held no more."""
+        """Repeat rounds of seals until all runs are known or the shard is lost."""
         began_unix_s = self._clock.now_s()
-        pause_s = self._settings.seal_retry_s
+        delay_s = self._settings.seal_retry_s
         while not held.stop_reason and held.past_epochs:
             if await self._raise_min_epoch(held):
                 await self._round(held)
             if began_unix_s + self._settings.records_kept_s < self._clock.now_s():
-                # Whoever could ask about such an old request has been answered long ago.
+                # Every caller that could ask about so old a request has its reply by now.
                 held.recovered = True
             held.request_write()
-            await anyio.sleep(pause_s)
-            pause_s = min(_LONGEST_PAUSE_S, pause_s * 2)
+            await anyio.sleep(delay_s)
+            delay_s = min(_MAX_DELAY_S, delay_s * 2)
 
     async def _raise_min_epoch(self, held: HeldShard) -> bool:
         deadline_unix_s = self._clock.now_s() + self._settings.store_timeout_s
@@ -105,78 +105,91 @@
         return True
 
     async def _round(self, held: HeldShard) -> None:
-        answers = await self._ask_all(held)
+        replies = await self._seal_all(held)
         for epoch, usage in held.past_epochs.items():
-            self._learn(held, epoch, usage, answers)
-        complete = all(known.complete for known in held.past_epochs.values())
+            self._update_usage(held, epoch, usage, replies)
+        complete = all(past.complete for past in held.past_epochs.values())
         if self.claim_recovery is not None and not held.recovered:
             known = [
                 record
-                for reply in [*answers.routers, *answers.sidecars]
+                for reply in [*replies.routers, *replies.sidecars]
                 for record in reply.seal.records
                 if record.state not in epoch_usage.OWN_STATES
             ]
             self.claim_recovery.adopt(held.shard, known, complete)
         held.recovered = held.recovered or complete
 
-    def _learn(
-        self, held: HeldShard, epoch: int, usage: epoch_usage.EpochUsage, answers: Round
+    def _update_usage(
+        self, held: HeldShard, epoch: int, usage: epoch_usage.EpochUsage, replies: Round
     ) -> None:
         past = held.saved.record['sealed'].get(records.sealed_key(held.data_centre, epoch))
         if past is None:
             usage.complete = True
             return
-        known_batch = self._known_batch(past, answers)
-        usage.learn(_about(usage, answers.routers), _about(usage, answers.sidecars), known_batch)
-        held_there = answers.held()
+        known_batch = self._known_batch(past, replies)
+        usage.learn(
+            _relevant_records(usage, replies.routers),
+            _relevant_records(usage, replies.sidecars),
+            known_batch,
+        )
+        replied = replies.held()
         others = {HolderEpoch(name, number) for name, number in past['others'].items()}
-        if usage.holder_epoch in held_there:
-            self._prove(held, usage, 0)
-        elif known_batch < _NEVER and others <= held_there:
-            self._prove(held, usage, known_batch)
-        elif answers.everyone:
+        if usage.holder_epoch in replied:
+            self._mark_complete(held, usage, 0)
+        elif known_batch < _NO_BATCH and others <= replied:
+            self._mark_complete(held, usage, known_batch)
+        elif replies.everyone:
             events.STRANDED.log(shard=held.shard, epoch=epoch)
 
-    def _prove(self, held: HeldShard, usage: epoch_usage.EpochUsage, first_batch: int) -> None:
+    def _mark_complete(
+        self, held: HeldShard, usage: epoch_usage.EpochUsage, first_batch: int
+    ) -> None:
         if not usage.complete:
             events.SEALED.log(shard=held.shard, epoch=usage.holder_epoch.epoch)
             usage.first_batch = first_batch
         usage.first_batch = min(usage.first_batch, first_batch)
         usage.complete = True
 
-    def _known_batch(self, past: records.Holder, answers: Round) -> int:
-        fleet = answers.fleet(list(self._view.configuration.servers))
+    def _known_batch(self, past: records.Holder, replies: Round) -> int:
+        fleet = replies.fleet(list(self._view.configuration.servers))
         if not fleet or fleet != past['fleet']:
-            return _NEVER
-        # Sidecars forget what ended longer ago.
+            return _NO_BATCH
+        # Sidecars don't remember runs that ended before this.
         oldest = int(self._clock.now_s() - self._settings.records_kept_s)
         return max(past['fleet_batch'], oldest)
 
-    async def _ask_all(self, held: HeldShard) -> Round:
+    async def _seal_all(self, held: HeldShard) -> Round:
         message = holders_pb2.SealRequest(
             shard=held.shard, data_centre=held.data_centre, below_epoch=held.epoch
         )
-        limit = anyio.CapacityLimiter(_AT_ONCE)
-        routers: list[Reply] = []
-        beside: list[Reply] = []
+        limit = anyio.CapacityLimiter(_MAX_CONCURRENT)
+        router_replies: list[Reply] = []
+        sidecar_replies: list[Reply] = []
         async with anyio.create_task_group() as tasks:
             for router in self._routers(held):
-                tasks.start_soon(self._ask, limit, router, rpcs.SEAL_CLAIMS, message, routers)
+                tasks.start_soon(
+                    self._ask, limit, router, rpcs.SEAL_CLAIMS, message, router_replies
+                )
             for sidecar in self._view.members('sidecar'):
-                tasks.start_soon(self._ask, limit, sidecar, rpcs.SEAL_RUNS, message, beside)
-        return Round(self._everyone([*routers, *beside]), routers, beside)
+                tasks.start_soon(
+                    self._ask, limit, sidecar, rpcs.SEAL_RUNS, message, sidecar_replies
+                )
+        return Round(
+            self._everyone([*router_replies, *sidecar_replies]), router_replies, sidecar_replies
+        )
 
     def _everyone(self, replies: list[Reply]) -> bool:
-        answered = {reply.member.instance for reply in replies}
+        replied = {reply.member.instance for reply in replies}
         in_view = [*self._view.members('router'), *self._view.members('sidecar')]
-        return all(member.instance in answered for member in in_view)
+        return all(member.instance in replied for member in in_view)
 
     def _routers(self, held: HeldShard) -> list[members_pb2.Member]:
-        # Past holders know best, also one that is out of view, or this instance itself.
+        # Past holders know most, so they are asked even if they have left the view.  This
+        # instance may be one of them.
         own = self._identity
         known = {member.instance: member for member in self._view.members('router')}
-        itself = members_pb2.Member(instance=own.instance, role=own.role, address=own.address)
-        known.setdefault(own.instance, itself)
+        own_member = members_pb2.Member(instance=own.instance, role=own.role, address=own.address)
+        known.setdefault(own.instance, own_member)
         for name, past in held.saved.record['sealed'].items():
             if name.partition('/')[0] == held.data_centre:
                 member = members_pb2.Member(instance=past['instance'], address=past['address'])
@@ -201,7 +214,9 @@
             replies.append(Reply(member, reply))
 
 
-def _about(usage: epoch_usage.EpochUsage, replies: Sequence[Reply]) -> list[holders_pb2.Record]:
+def _relevant_records(
+    usage: epoch_usage.EpochUsage, replies: Sequence[Reply]
+) -> list[holders_pb2.Record]:
     return [
         record
         for reply in replies
--- a/packages/fleet/src/endivesaddle/fleet/budgets/reports.py
+++ b/packages/fleet/src/endivesaddle/fleet/budgets/reports.py
@@ -1,4 +1,4 @@
-"""What a holder answers to a seal: its own reservations and direct transfers."""
+"""The records with which a holder replies to a seal: reservations and direct transfers."""
 
 from endivesaddle.fleet.budgets import epoch_usage
 from endivesaddle.fleet.budgets.held import HeldShard
@@ -7,7 +7,7 @@
 
 
 def own_report(held: HeldShard) -> list[holders_pb2.Record]:
-    """Return everything that a passed epoch of this instance has reserved or billed."""
+    """Return all reservations and bills of a past epoch of this instance."""
     report = [_record(held, epoch_usage.HELD)]
     for account, ledger in held.ledgers.items():
         grant = held.budget(account)['grants'].get(held.data_centre)
@@ -17,12 +17,12 @@
 
 
 def other_report(held: HeldShard, data_centre: str, below_epoch: int) -> list[holders_pb2.Record]:
-    """Return what this holder took from passed epochs of another data centre, or gave them.
+    """Return this holder's direct transfers from and to past epochs of another data centre.
 
-    Failure: a holder that the store had granted nothing lives on tokens given to it
-    directly, and dies before it has written so.  Symptom: its successor finds nothing
-    stranded and forgets what ran there, and the tokens that were spent are neither
-    billed nor bound.  The donor knows what it gave, and that is stranded then.
+    Failure: a holder without a grant from the store spends directly transferred tokens
+    and dies before it has recorded the transfer.  Symptom: its successor finds no stranded
+    tokens and drops the past epoch, and the spent tokens are neither billed nor counted as
+    in use.  The donor knows the tokens it gave; with its report they become stranded.
     """
     report = [_record(held, epoch_usage.HELD)]
     for account, ledger in held.ledgers.items():
@@ -33,7 +33,7 @@
 
 
 def transfer_report(held: HeldShard, account: str, ledger: Ledger) -> list[holders_pb2.Record]:
-    """Return the direct transfers that the store doesn't show yet."""
+    """Return the direct transfers that aren't recorded in the store yet."""
     pending = {**ledger.pending.received, **ledger.pending.given}
     return [
         _transferred(held, account, transfer_id, transfer.tokens)
--- a/packages/fleet/src/endivesaddle/fleet/budgets/settings.py
+++ b/packages/fleet/src/endivesaddle/fleet/budgets/settings.py
@@ -7,40 +7,40 @@
 
 @dataclasses.dataclass(frozen=True)
 class BudgetSettings:
-    """How often the store is written, how far ahead ceilings are raised, what is kept how long.
+    """Intervals of store writes, headroom acquired in advance, and retention of records.
 
-    ``records_kept_s`` must stay below what the sidecars remember ended runs for (900 s),
-    by as much as clocks may differ, and above the longest outage of the store that a lost
-    holder's tokens are to survive; see docs/BUDGETS.md.
+    ``records_kept_s`` must be shorter than the 900 s for which sidecars remember ended runs,
+    by at least the maximum clock difference.  It must be longer than the longest store
+    outage after which the tokens of a failed holder can be recovered; see docs/BUDGETS.md.
     """
 
     tick_s: float = option(
-        'budget-tick-s', 'seconds between two looks at who holds what', 1.0, number(0.05, 60)
+        'budget-tick-s', 'seconds between two checks of the assigned shards', 1.0, number(0.05, 60)
     )
     settle_interval_s: float = option(
         'budget-settle-s', 'seconds between two writes of a shard', 15.0, number(0.1, 600)
     )
     write_gap_s: float = option(
         'budget-write-gap-s',
-        'seconds between two hurried writes of a shard',
+        'minimum seconds between two requested writes of a shard',
         0.1,
         number(0, 60),
     )
     ahead_s: float = option(
         'budget-ahead-s',
-        'seconds of spending a ceiling is raised ahead',
+        'seconds of spending for which a ceiling is raised in advance',
         900.0,
         number(0, 3600),
     )
     least_ahead_tokens: int = option(
         'budget-least-ahead-tokens',
-        'tokens a ceiling is raised ahead at least',
+        'minimum tokens by which a ceiling is raised in advance',
         20_000,
         integer(0, 10**9),
     )
     idle_s: float = option(
         'budget-idle-s',
-        'seconds without a request until headroom is given back',
+        'seconds without a request until headroom is returned',
         600.0,
         number(1, 86400),
     )
@@ -55,7 +55,7 @@
     )
     store_retry_s: float = option(
         'budget-store-retry-s',
-        'seconds between two tries to write while the store is not reached',
+        'seconds between two write attempts while the store is unavailable',
         2.0,
         number(0.1, 600),
     )
@@ -63,17 +63,20 @@
         'budget-look-s', 'seconds until an idle shard is read again', 60.0, number(1, 86_400)
     )
     fresh_s: float = option(
-        'budget-fresh-s', 'age of a record on which a refusal may rest', 1.0, number(0, 60)
+        'budget-fresh-s',
+        'maximum seconds of age of a record used for a refusal',
+        1.0,
+        number(0, 60),
     )
     waiting_look_s: float = option(
         'budget-waiting-look-s',
-        'seconds between two looks at a record that a request waits for',
+        'seconds between two reads of a record while requests wait',
         0.2,
         number(0, 60),
     )
     retry_s: float = option(
         'budget-retry-s',
-        'seconds until a waiting request looks for headroom again',
+        'seconds until a waiting request checks for headroom again',
         0.25,
         number(0.01, 60),
     )
@@ -82,9 +85,11 @@
     )
     records_kept_s: float = option(
         'budget-records-kept-s',
-        'seconds a settled request is remembered',
+        'seconds for which a settled request is remembered',
         840.0,
         number(1, 86400),
     )
     transfers: bool = option('budget-transfers', 'move headroom between data centres', True)
-    waiting: bool = option('budget-waiting', 'wait for outstanding reservations', True)
+    waiting: bool = option(
+        'budget-waiting', 'let requests wait for open reservations to be settled', True
+    )
--- a/packages/fleet/src/endivesaddle/fleet/budgets/sidecars.py
+++ b/packages/fleet/src/endivesaddle/fleet/budgets/sidecars.py
@@ -1,4 +1,4 @@
-"""The fingerprint of all sidecars, by which a lost epoch's runs are proved known."""
+"""The fingerprint of all sidecars: while it is unchanged, they know all recent runs."""
 
 from collections.abc import Iterable
 
@@ -8,21 +8,21 @@
 
 
 def fingerprint(view: FleetView) -> str:
-    """Return the fingerprint of all sidecars in view; '' where a server has none.
+    """Return the fingerprint of all sidecars in view, or '' if a server has none.
 
-    Two equal ones mean: the same servers, each with the same incarnation of the same
-    sidecar, so nothing that was kept in their memory was lost in between.
+    Equal fingerprints mean the same servers, each with the same incarnation of the same
+    sidecar, so nothing in the memory of the sidecars was lost in between.
     """
-    known = [
+    members = [
         (member.server, member.instance, str(member.incarnation))
         for member in view.members('sidecar')
     ]
-    return fingerprint_of(known, view.configuration.servers)
+    return fingerprint_of(members, view.configuration.servers)
 
 
 def fingerprint_of(sidecars: Iterable[tuple[str, str, str]], servers: Iterable[str]) -> str:
-    """Return the fingerprint of sidecars, each its server, instance and incarnation."""
-    known = sorted(sidecars)
-    if not known or set(servers) - {server for server, _, _ in known}:
+    """Return the fingerprint of sidecars given as (server, instance, incarnation)."""
+    members = sorted(sidecars)
+    if not members or set(servers) - {server for server, _, _ in members}:
         return ''
-    return xxhash.xxh3_64_hexdigest(repr(known).encode())
+    return xxhash.xxh3_64_hexdigest(repr(members).encode())
--- a/packages/fleet/src/endivesaddle/fleet/budgets/takeover.py
+++ b/packages/fleet/src/endivesaddle/fleet/budgets/takeover.py
@@ -1,7 +1,7 @@
-"""Take a shard over: the next epoch, by compare-and-swap.
+"""Take over a shard: write the next epoch by compare-and-swap.
 
-All that the epoch before was granted and isn't known to be spent is set aside
-as stranded: it counts as spent until what ran under it is known.
+The grants of the previous epoch become stranded: tokens that aren't known to be spent
+count as spent until all runs under that epoch are known.
 """
 
 from endivesaddle.fleet.budgets import records
@@ -9,13 +9,14 @@
 
 
 class Takeover:
-    """The change of a record that makes this instance the holder in its data centre."""
+    """The record change that makes this instance the holder in its data centre."""
 
     def __init__(self, identity: Identity, past: frozenset[int], fleet: str, batch: int) -> None:
-        """Take over for one incarnation; ``past`` are the epochs that it had, ``batch`` its first.
+        """Initialize for one incarnation with its ``past`` epochs and its first ``batch``.
 
-        An own entry with another epoch is this takeover's: its answer was lost.  One of
-        ``past`` was spent from, and its ledgers are closed, so a new epoch is needed.
+        An entry of this incarnation whose epoch isn't in ``past`` was written by this very
+        takeover, and the reply was lost.  Tokens of the ``past`` epochs have been spent and
+        their ledgers are closed, so in that case a new epoch is needed.
         """
         self._identity = identity
         self._past = past
@@ -23,7 +24,7 @@
         self._batch = batch
 
     def __call__(self, record: records.ShardRecord) -> bool:
-        """Change a record; nothing to do where this incarnation holds it."""
+        """Update a record; return False if this incarnation already is the holder."""
         data_centre = self._identity.data_centre
         before = record['holders'].get(data_centre)
         if before is not None and self._is_own(before):
@@ -56,7 +57,7 @@
 
 
 def strand(record: records.ShardRecord, data_centre: str, holder: records.Holder) -> None:
-    """Set aside what a passed epoch may have spent, and remember its holder."""
+    """Mark the grants of a past epoch as stranded, and keep its holder in ``sealed``."""
     epoch = holder['epoch']
     for budget in record['budgets'].values():
         _strand_grant(budget, data_centre, epoch)
--- a/packages/fleet/src/endivesaddle/fleet/budgets/top_ups.py
+++ b/packages/fleet/src/endivesaddle/fleet/budgets/top_ups.py
@@ -1,8 +1,8 @@
-"""Top-ups and declared budgets, as the operators' command makes them.
+"""Top-ups and declared budgets, as made by the operators' commands.
 
-A top-up is counted once by its id.  Its result is never a false yes: a write
-whose answer was lost is read back, and where that fails it is "unknown" and the
-operator repeats it under the same id.
+A top-up is counted once by its id.  Success is never reported wrongly: after a write
+whose reply was lost the record is read again, and if that fails too, the outcome is
+"unknown" and the operator repeats the top-up with the same id.
 """
 
 from typing import NamedTuple
@@ -16,37 +16,37 @@
 from endivesaddle.fleet.ports import Store
 
 DECLARED = 'declared'
-"""Id of the pseudo top-up that holds the declared base amount."""
+"""Id of the pseudo top-up that stores the declared base amount."""
 
 
 class Accepted(NamedTuple):
-    """The top-up counts; ``total_tokens`` is what was ever paid in."""
+    """The top-up took effect; ``total_tokens`` is the sum of all tokens paid in."""
 
     total_tokens: int
 
 
 class AlreadyApplied(NamedTuple):
-    """The top-up counted before, under this id."""
+    """A top-up with this id was applied before."""
 
     total_tokens: int
 
 
 class Unknown(NamedTuple):
-    """It may or may not count: repeat it under the same id."""
+    """The top-up may or may not have taken effect; repeat it with the same id."""
 
     reason: str
 
 
 class NotAccepted(NamedTuple):
-    """It doesn't count, nor will it."""
+    """The top-up did not take effect and will not do so later."""
 
     reason: str
 
 
 class Balance(NamedTuple):
-    """What the store knows of an account; all in tokens.
+    """The stored balance of an account, in tokens.
 
-    ``granted_tokens`` are with holders and not known to be spent.
+    ``granted_tokens`` are granted to holders and not known to be spent.
     """
 
     total_tokens: int
@@ -57,11 +57,11 @@
 
 
 class ChangeRejected(Exception):
-    """A change that the record doesn't allow; its text is the reason."""
+    """A change that the record doesn't allow; the message is the reason."""
 
 
 class _TopUp:
-    """One top-up as a change of a record; remembers whether it was there before."""
+    """One top-up as a record change; ``repeated`` is set if it was already in the record."""
 
     def __init__(self, account: str, tokens: int, top_up_id: str) -> None:
         self._account = account
@@ -76,7 +76,7 @@
             kept = budget['top_ups'].get(self._id, self._tokens)
             if kept != self._tokens:
                 raise ChangeRejected(f'top-up {self._id} was made with {kept} tokens')
-            # Found at a second look only: this call's own lost write, or its twin's.
+            # Found on a retry only: written by this call or a concurrent one with this id.
             self.repeated = not self._tried
             return False
         self._tried = True
@@ -93,7 +93,7 @@
     top_up_id: str,
     deadline_unix_s: float,
 ) -> Accepted | AlreadyApplied | Unknown | NotAccepted:
-    """Add tokens to an account's budget, once for each ``top_up_id``."""
+    """Add tokens to an account's budget, only once for each ``top_up_id``."""
     if tokens <= 0 or not top_up_id or top_up_id == DECLARED:
         return NotAccepted('a top-up needs an id of its own and more than 0 tokens')
     change = _TopUp(account, tokens, top_up_id)
@@ -110,7 +110,7 @@
     budget_tokens: int,
     deadline_unix_s: float,
 ) -> Accepted | Unknown | NotAccepted:
-    """Set the declared base amount; it can't fall below what is granted or spent."""
+    """Set the declared base amount; the total can't fall below the tokens in use."""
 
     def change(record: records.ShardRecord) -> bool:
         budget = record['budgets'].setdefault(account, records.new_budget())
@@ -128,7 +128,7 @@
 async def balance(
     store: Store, clock: Clock, account: str, deadline_unix_s: float
 ) -> Balance | Unknown:
-    """Return what the store knows of an account."""
+    """Return the stored balance of an account."""
     try:
         saved = await RecordStore(store, clock).read(shard_of(account), deadline_unix_s)
     except (StoreUnreachable, BadRecord) as error:
@@ -145,7 +145,7 @@
 
 
 def fold(budget: records.Budget) -> None:
-    """Sum up old top-ups; their ids stay known by hash, so none counts twice."""
+    """Replace old top-ups by their sum; hashes of their ids prevent counting one twice."""
     recent = [top_up_id for top_up_id in budget['top_ups'] if top_up_id != DECLARED]
     for top_up_id in recent[: -records.RECENT_TOP_UPS]:
         budget['folded_tokens'] += budget['top_ups'].pop(top_up_id)
@@ -155,7 +155,7 @@
 async def save(
     store: Store, clock: Clock, account: str, change: Change, deadline_unix_s: float
 ) -> Accepted | Unknown | NotAccepted:
-    """Change an account's record; a lost answer is read back."""
+    """Change an account's record; after a lost reply the record is read again."""
     shard = shard_of(account)
     try:
         saved = await RecordStore(store, clock).update(shard, change, deadline_unix_s)
--- a/packages/fleet/src/endivesaddle/fleet/budgets/transfers.py
+++ b/packages/fleet/src/endivesaddle/fleet/budgets/transfers.py
@@ -1,8 +1,8 @@
-"""Move headroom between the holders of a shard.
+"""Transfer headroom between the holders of a shard.
 
-While the store is reached, the donor gives back to it and the receiver raises its
-ceiling from there.  While it is not, the donor lowers its own ceiling and answers
-with the tokens: a lost answer strands them, and never makes any.
+While the store is available, the donor returns tokens to it and the receiver raises its
+ceiling from the store.  Otherwise the donor lowers its own ceiling and replies with the
+tokens directly: a lost reply strands them, but never creates any.
 """
 
 import asyncio
@@ -23,12 +23,12 @@
 from endivesaddle.fleet.ports import Peers
 from endivesaddle.wire import holders_pb2, rpcs
 
-_HALF = 2
-_NOTHING = Grant(0, 0, 0)
+_SHARE_DIVISOR = 2
+_NO_GRANT = Grant(0, 0, 0)
 
 
 class Ask(NamedTuple):
-    """One question for headroom to another data centre's holder."""
+    """One request for headroom to the holder in another data centre."""
 
     transfer_id: str
     donor: HolderEpoch
@@ -37,7 +37,7 @@
 
 
 class Transfers:
-    """Asks other holders for headroom, and answers them."""
+    """Requests headroom from other holders, and answers their requests."""
 
     def __init__(
         self,
@@ -46,18 +46,18 @@
         shard_manager: ShardManager,
         clock: Clock,
     ) -> None:
-        """Move headroom of the shards that ``shard_manager`` holds."""
+        """Initialize for the shards held by ``shard_manager``."""
         self._settings = settings
         self._peers = peers
         self._shard_manager = shard_manager
         self._clock = clock
-        self._asked = 0
+        self._ask_count = 0
 
     async def ask(self, held: HeldShard, account: str, wanted_tokens: int) -> None:
-        """Ask all other holders of a shard that may have headroom.
+        """Request headroom from all other holders of a shard that may have some.
 
-        Each is asked for all: what turns out too much is given back in time, and a
-        request waits for the slowest answer only once.
+        Each one is asked for the full amount: excess tokens are returned later, and a
+        request waits for the slowest reply only once.
         """
         ledger = held.ledger(account)
         if ledger.pending.asked_unix_s + self._settings.retry_s > self._clock.now_s():
@@ -69,32 +69,32 @@
                 tasks.start_soon(self._ask, held, account, ask)
 
     async def give(self, message: holders_pb2.TransferRequest) -> holders_pb2.TransferReply:
-        """Give headroom to the receiver that asks, below its epoch and this one's."""
+        """Give headroom to the requesting receiver, if both epochs are current."""
         held = self._shard_manager.held_shards.get(shard_of(message.account))
         if held is None or held.stop_reason:
             return holders_pb2.TransferReply(reason='not the holder')
         parsed_id = _parsed(message)
         if parsed_id is None or parsed_id.donor != held.holder_epoch:
-            return holders_pb2.TransferReply(reason='meant for another epoch')
+            return holders_pb2.TransferReply(reason='the transfer is for another epoch')
         ledger = held.ledger(message.account)
         if message.direct or not held.reachable:
             return self._give_directly(held, ledger, message, parsed_id)
-        return await self._give_back(held, ledger, message)
+        return await self._return_to_store(held, ledger, message)
 
     def _asks(self, held: HeldShard, account: str, wanted_tokens: int) -> list[Ask]:
         asks = []
         grants = held.budget(account)['grants']
         for data_centre, holder in held.saved.record['holders'].items():
-            grant = grants.get(data_centre, _NOTHING)
-            rich = grant.ceiling > grant.settled or not held.reachable
-            if data_centre != held.data_centre and rich:
+            grant = grants.get(data_centre, _NO_GRANT)
+            may_have_headroom = grant.ceiling > grant.settled or not held.reachable
+            if data_centre != held.data_centre and may_have_headroom:
                 donor = HolderEpoch(data_centre, holder['epoch'])
-                asks.append(self._question(held, donor, holder['address'], wanted_tokens))
+                asks.append(self._build_ask(held, donor, holder['address'], wanted_tokens))
         return asks
 
-    def _question(self, held: HeldShard, donor: HolderEpoch, address: str, tokens: int) -> Ask:
-        self._asked += 1
-        transfer_id = str(TransferId(donor, held.holder_epoch, str(self._asked)))
+    def _build_ask(self, held: HeldShard, donor: HolderEpoch, address: str, tokens: int) -> Ask:
+        self._ask_count += 1
+        transfer_id = str(TransferId(donor, held.holder_epoch, str(self._ask_count)))
         return Ask(transfer_id, donor, address, tokens)
 
     async def _ask(self, held: HeldShard, account: str, ask: Ask) -> None:
@@ -115,19 +115,19 @@
         except (PeerUnreachable, PeerRefused):
             return
         except PeerNoReply:
-            self._doubt(held, ledger, ask)
+            self._note_unanswered(held, ledger, ask)
         except asyncio.CancelledError:
-            self._doubt(held, ledger, ask)
+            self._note_unanswered(held, ledger, ask)
             raise
         else:
-            self._take(held, ledger, ask, reply)
+            self._apply_reply(held, ledger, ask, reply)
 
-    def _doubt(self, held: HeldShard, ledger: Ledger, ask: Ask) -> None:
-        # The donor may have given: the store is told that nothing was received.
+    def _note_unanswered(self, held: HeldShard, ledger: Ledger, ask: Ask) -> None:
+        # The donor may have given tokens: record in the store that none were received.
         ledger.pending.unanswered[ask.transfer_id] = DirectTransfer(*ask.donor, ask.tokens)
         held.dirty = True
 
-    def _take(
+    def _apply_reply(
         self, held: HeldShard, ledger: Ledger, ask: Ask, reply: holders_pb2.TransferReply
     ) -> None:
         if not reply.given:
@@ -138,7 +138,7 @@
         sealed = transfer.epoch < self._shard_manager.min_epoch(held.shard, transfer.data_centre)
         held.dirty = True
         if sealed or held.stop_reason:
-            # The seal was answered without these tokens: they can't be used any more.
+            # The reply to the seal didn't include these tokens: they must not be used.
             ledger.pending.unanswered[ask.transfer_id] = transfer
             return
         ledger.pending.received[ask.transfer_id] = transfer
@@ -153,7 +153,7 @@
     ) -> holders_pb2.TransferReply:
         before = ledger.pending.given.get(message.transfer_id)
         if before is not None:
-            return _given(held, before.tokens)
+            return _given_reply(held, before.tokens)
         receiver = parsed_id.receiver
         if held.receivers.get(receiver.data_centre) != receiver.epoch:
             return holders_pb2.TransferReply(reason='the store names another receiver')
@@ -163,9 +163,9 @@
         ledger.pending.given[message.transfer_id] = DirectTransfer(*receiver, tokens)
         held.dirty = True
         events.GAVE.log(account=message.account, tokens=tokens, to=receiver.data_centre)
-        return _given(held, tokens)
+        return _given_reply(held, tokens)
 
-    async def _give_back(
+    async def _return_to_store(
         self, held: HeldShard, ledger: Ledger, message: holders_pb2.TransferRequest
     ) -> holders_pb2.TransferReply:
         tokens = self._spare(held, ledger, message)
@@ -174,16 +174,16 @@
         ledger.offered = max(ledger.offered, tokens)
         ledger.pending.gave_unix_s = self._clock.now_s()
         await self._shard_manager.write(held)
-        reason = 'given back to the store' if held.reachable else 'the store is not reached'
+        reason = 'returned to the store' if held.reachable else 'the store is unavailable'
         return holders_pb2.TransferReply(tokens=tokens, from_epoch=held.epoch, reason=reason)
 
     def _spare(self, held: HeldShard, ledger: Ledger, message: holders_pb2.TransferRequest) -> int:
-        # Where both wait, a fixed order of the data centres says whose request goes
-        # first; without one, two large requests could each hold half of what one needs.
+        # If requests wait at both holders, a fixed order of the data centres decides which
+        # goes first: two large requests could otherwise each hold half of the tokens needed.
         order = rendezvous(message.account, [held.data_centre, message.to_data_centre])
         queued = 0 if order[0] == message.to_data_centre else ledger.queued_tokens
         spare = ledger.headroom - queued
-        return min(spare, max(message.wanted_tokens, spare // _HALF))
+        return min(spare, max(message.wanted_tokens, spare // _SHARE_DIVISOR))
 
 
 def _parsed(message: holders_pb2.TransferRequest) -> TransferId | None:
@@ -193,5 +193,5 @@
         return None
 
 
-def _given(held: HeldShard, tokens: int) -> holders_pb2.TransferReply:
+def _given_reply(held: HeldShard, tokens: int) -> holders_pb2.TransferReply:
     return holders_pb2.TransferReply(given=True, tokens=tokens, from_epoch=held.epoch)
--- a/packages/fleet/src/endivesaddle/fleet/budgets/write_offs.py
+++ b/packages/fleet/src/endivesaddle/fleet/budgets/write_offs.py
@@ -1,8 +1,8 @@
-"""Release of stranded tokens by an operator who vouches for what was spent.
+"""Release of stranded tokens by an operator who states how many were spent.
 
-The fleet frees the tokens of a lost holder by itself when it can prove what ran.
-Where a sidecar was lost with it, nobody can; the operator may find out from the
-engine's own records, or decide to bear the difference.
+The fleet frees the tokens of a failed holder itself if it can determine all its runs.  If
+a sidecar failed together with the holder, that is impossible; the operator may find the
+usage in the engine's own records or decide to bear the difference.
 """
 
 from endivesaddle.fleet.budgets import records
@@ -20,20 +20,21 @@
     spent_tokens: int,
     deadline_unix_s: float,
 ) -> Accepted | Unknown | NotAccepted:
-    """Count ``spent_tokens`` of a passed epoch's stranded entry as spent; free the rest.
+    """Count ``spent_tokens`` of a past epoch's stranded entry as spent; free the rest.
 
-    The entry is identified by its data centre and epoch.  A lost answer is read back: an
-    entry that this call removed is gone.  A later call finds none and says so.
+    The entry is identified by its data centre and epoch.  After a lost reply the record is
+    read again: an entry that this call removed is missing then.  A later call finds no
+    entry and is rejected.
     """
 
     tried = False
 
     def change(record: records.ShardRecord) -> bool:
-        nonlocal tried  # noqa: WPS420 (a lost answer is told from a wrong call by it)
+        nonlocal tried  # noqa: WPS420 (distinguishes a lost reply from an invalid call)
         budget = record['budgets'].get(account) or records.new_budget()
         entries = [entry for entry in budget['stranded'] if (entry[0], entry[1]) == holder_epoch]
         if not entries and tried:
-            # The answer to this call's own write was lost; "no" would be false.
+            # The reply to this call's own write was lost; a rejection would be wrong.
             return False
         if not entries:
             raise ChangeRejected(
