--- a/packages/fleet/src/endivesaddle/fleet/budgets/record_format.py
+++ b/packages/fleet/src/endivesaddle/fleet/budgets/record_format.py
@@ -71,7 +71,7 @@
     }
     raw = zlib.compress(_encoder.encode({**record, 'budgets': non_empty}), _COMPRESSION_LEVEL)
     if len(raw) > MAX_BYTES:
-        raise BadRecord(f'the record has {len(raw)} bytes, the maximum is {MAX_BYTES}')
+        raise BadRecord(f'{len(raw)} bytes exceed the maximum of {MAX_BYTES}')
     return raw
 
 
