--- a/features/subjects/news_fleet.py
+++ b/features/subjects/news_fleet.py
@@ -134,7 +134,9 @@
         began_unix_s = self._clock.now_s()
         self._random.choice(self._routers).routing_state.leaving_servers.add(life, 'answer')
         while self._clock.now_s() < began_unix_s + LONGEST_S:
-            if all(router.routing_state.leaving_servers.said(life) for router in self._routers):
+            if all(
+                router.routing_state.leaving_servers.is_leaving(life) for router in self._routers
+            ):
                 break
             await anyio.sleep(LOOK_S)
         return self._clock.now_s() - began_unix_s
--- a/packages/fleet/src/endivesaddle/fleet/routes/__init__.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/__init__.py
@@ -1,6 +1,6 @@
-"""Routes: requests forwarded as they came, by host and path, under what operators declared.
+"""Routes: requests that are forwarded unchanged, by host and path, as operators declare.
 
-``declared`` holds the types, ``declarations`` answers questions about one version,
-``routing_state`` is what a router knows now, ``store_watch`` keeps it up to date,
-``grants`` and ``keeping`` hold client accounts to their prepaid totals.
+``declared`` holds the types, ``declaration_index`` indexes one version of the declarations,
+``routing_state`` is what a router knows now, and ``store_watch`` keeps it up to date.
+``grants`` and ``allocator`` keep client accounts within their prepaid totals.
 """
--- a/packages/fleet/src/endivesaddle/fleet/routes/declaration_index.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/declaration_index.py
@@ -1,4 +1,4 @@
-"""Answers to questions about one version of the declarations, in constant time."""
+"""An index of one version of the declarations, for look-ups in constant time."""
 
 from collections.abc import Iterable
 
@@ -9,7 +9,7 @@
     """One version of the declarations, indexed."""
 
     def __init__(self, declared: Declarations) -> None:
-        """Index by host and prefix, service name, and key."""
+        """Index routes by host and prefix, services and accounts by name, accounts by key."""
         self.declared = declared
         self._routes: dict[tuple[str, str], Route] = {
             (route.host, route.prefix): route for route in declared.routes
@@ -22,11 +22,11 @@
 
     @property
     def version(self) -> int:
-        """The version that is indexed."""
+        """The version of the declarations."""
         return self.declared.version
 
     def find(self, host: str, path: str) -> Route | None:
-        """Return the route with the longest prefix of ``path``, None where there is none."""
+        """Return the route of ``host`` with the longest prefix of ``path``, None if it has none."""
         name = host.partition(':')[0].lower()
         for prefix in prefixes(path):
             route = self._routes.get((name, prefix))
@@ -35,7 +35,7 @@
         return None
 
     def account_of(self, key: str) -> RouteAccount | None:
-        """Return the account that holds a key."""
+        """Return the account that a key belongs to, None if there is none."""
         return self._by_key.get(key)
 
 
--- a/packages/fleet/src/endivesaddle/fleet/routes/declarations.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/declarations.py
@@ -1,8 +1,8 @@
 """Fetch newer declarations from another router, one transfer at a time.
 
-Failure: every other router sent the whole document with each of its talks to a router that was
-behind.  On a link of 5 Mbit/s seven of them, most of a second each, arrived together and none in
-time.
+Failure: every other router sent the complete document with each exchange to a router whose version
+was older.  On a link of 5 Mbit/s seven copies, most of a second each, arrived concurrently and none
+in time.
 """
 
 from collections.abc import AsyncIterator
@@ -18,39 +18,39 @@
 from endivesaddle.fleet.routes.store_watch import Decoder
 from endivesaddle.wire import routers_pb2, rpcs
 
-FIRST_S = 0.4
+FIRST_PART_S = 0.4
 """Another router begins to answer within this."""
-STORE_FIRST_S = 0.5
-"""A router that the store answers waits so long for the store's own word first: a second copy of
-the document on the same link would delay it."""
+WAIT_FOR_STORE_S = 0.5
+"""A router to which the store is available first waits this long for the store's own copy: a second
+copy on the same link would delay it."""
 
 
 class DeclarationsFetch:
-    """This router's way to declarations that others have and the store does not tell here."""
+    """Fetches declarations from other routers when the store does not provide them."""
 
     def __init__(
         self, routing_state: RoutingState, store_status: StoreStatus, decoder: Decoder
     ) -> None:
-        """Keep ``routing_state`` up to date."""
+        """Put fetched declarations into force in ``routing_state``."""
         self._routing_state = routing_state
         self._store_status = store_status
         self._decoder = decoder
-        self._busy = anyio.Lock()
+        self._fetching = anyio.Lock()
 
     def register(self, handlers: Handlers) -> None:
-        """Tell the declarations to routers that ask."""
-        handlers.stream(rpcs.DECLARATIONS, self._tell)
+        """Answer routers that ask for the declarations."""
+        handlers.stream(rpcs.DECLARATIONS, self._send)
 
     async def fetch(self, address: str, version: int, peers: Peers, clock: Clock) -> None:
-        """Take in what the router at ``address`` has, if it is still newer and nothing is fetched.
+        """Fetch ``version`` from the router at ``address``, if it is newer and no fetch is running.
 
-        A transfer that fails is no error: the next word of any router begins another.
+        A failed transfer is no error: the next report of any router starts another.
         """
-        if self._busy.locked() or version <= self._version:
+        if self._fetching.locked() or version <= self._version:
             return
-        async with self._busy:
+        async with self._fetching:
             if not self._store_status.unavailable and self._routing_state.declarations is not None:
-                await anyio.sleep(STORE_FIRST_S)
+                await anyio.sleep(WAIT_FOR_STORE_S)
             if version <= self._version:
                 return
             request = routers_pb2.DeclarationsRequest(version=self._version)
@@ -60,7 +60,7 @@
                     rpcs.DECLARATIONS,
                     request,
                     routers_pb2.DeclarationsReply,
-                    clock.now_s() + FIRST_S,
+                    clock.now_s() + FIRST_PART_S,
                 )
             except (FleetError, TimeoutError) as error:
                 events.DECLARATIONS_LOST.log(other=address, version=version, reason=str(error))
@@ -83,11 +83,11 @@
         if declared is not None:
             self._routing_state.declare(declared, reply.document, address)
 
-    async def _tell(
-        self, asked: routers_pb2.DeclarationsRequest
+    async def _send(
+        self, request: routers_pb2.DeclarationsRequest
     ) -> AsyncIterator[routers_pb2.Part]:
         reply = routers_pb2.DeclarationsReply(version=self._version)
-        if asked.version < reply.version:
+        if request.version < reply.version:
             reply.document = self._routing_state.document
         async for part in in_parts(reply):
             yield part
--- a/packages/fleet/src/endivesaddle/fleet/routes/declared.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/declared.py
@@ -1,11 +1,11 @@
-"""What operators declare for forwarding: routes, services, client accounts, limits."""
+"""Types of the operators' declarations for forwarding."""
 
 import enum
 from typing import NamedTuple
 
 
 class Repeat(enum.Enum):
-    """What of a route's requests may run again."""
+    """Whether a route's requests may run more than once."""
 
     SAFE = 'safe'
     UNSAFE = 'unsafe'
@@ -13,7 +13,7 @@
 
 
 class Target(NamedTuple):
-    """A service that a route leads to, and its share of the requests."""
+    """A service that gets a route's requests, and its share of them."""
 
     service: str
     weight: float
@@ -22,11 +22,11 @@
 class Route(NamedTuple):
     """One route: host and path prefix, and how its requests are handled.
 
-    ``timeout_ms`` is the longest that a caller is kept, ``goal_ms`` the time to
-    the answer (streams: to the first event) that is aimed at, ``max_attempts``
-    how many backend servers one request may run on.  ``priority`` 0 is the
-    most urgent.  ``resumable`` streams go on elsewhere from the last event.
-    ``homes`` are the regions whose servers may get its requests, all where it is empty.
+    ``timeout_ms`` is the longest that a caller waits, ``goal_ms`` the target time to
+    the answer (for streams, to the first event), ``max_attempts`` the number of
+    backend servers that one request may run on.  ``priority`` 0 is the most
+    urgent.  ``resumable`` streams can continue on another server after the last event.
+    ``homes`` are the regions whose servers may get its requests, empty for all.
     """
 
     name: str
@@ -54,13 +54,13 @@
 
 
 class Service(NamedTuple):
-    """A set of like backend servers.
+    """A set of equivalent backend servers.
 
-    ``max_connections`` is what one server takes from all routers together;
+    ``max_connections`` is the limit on connections to one server from all routers together;
     ``event_tokens`` the most output tokens in one event of a stream, 0 for a
-    plain service; ``memory_tokens`` what one engine can hold.  A server is cold for
-    ``cold_s`` after its start, and bears ``cold_per_s`` requests a second until then, of
-    all routers together; 0 for a service whose servers bear their load from the start.
+    plain service; ``memory_tokens`` the capacity of one engine.  A server is cold for
+    ``cold_s`` after its start, and handles only ``cold_per_s`` requests a second from all
+    routers together until then; 0 if servers handle their full load from the start.
     """
 
     name: str
@@ -77,10 +77,10 @@
 
 
 class RouteAccount(NamedTuple):
-    """A client account: keys of its callers, and the tokens it may spend in all.
+    """A client account: the keys of its callers, and the total of tokens that it may spend.
 
-    ``priority`` goes before the route's where it is not None; ``total_tokens``
-    is None for an account without a budget.  ``homes`` bind as a route's do.
+    ``priority`` overrides the route's unless it is None; ``total_tokens`` is None
+    for an account without a budget.  ``homes`` restrict regions as a route's do.
     """
 
     name: str
@@ -91,7 +91,7 @@
 
 
 class RequestLimits(NamedTuple):
-    """Bounds on what a caller may send, and on how long it may take."""
+    """Limits on the size and duration of what a caller sends."""
 
     header_bytes: int = 16384
     body_bytes: int = 4194304
@@ -100,7 +100,7 @@
 
 
 class Declarations(NamedTuple):
-    """One version of everything that is declared; a higher version is newer."""
+    """One version of all declarations; a higher version is newer."""
 
     version: int
     routes: tuple[Route, ...]
@@ -110,11 +110,11 @@
 
 
 class RouteServer(NamedTuple):
-    """One life of a backend server.
+    """One incarnation of a backend server.
 
-    A server may start again under its name: ``lifetime`` and ``born_unix_ms`` tell its lives
-    apart, and the greater of the latter is the newer one.  ``cold_until_unix_s`` is 0 for a
-    server that does not say that it is cold.
+    A server may restart under its name: ``lifetime`` and ``born_unix_ms`` together identify the
+    incarnation, and a greater ``born_unix_ms`` is newer.  ``cold_until_unix_s`` is 0 for a server
+    whose entry does not say that it is cold.
     """
 
     lifetime: str
@@ -128,5 +128,5 @@
 
     @property
     def incarnation(self) -> str:
-        """What names this life, also where the server starts again under its name."""
+        """The id of this incarnation, unique also if the server restarts under its name."""
         return f'{self.lifetime}/{self.born_unix_ms}' if self.born_unix_ms else self.lifetime
--- a/packages/fleet/src/endivesaddle/fleet/routes/evacuation_events.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/evacuation_events.py
@@ -3,8 +3,14 @@
 from endivesaddle.fleet.events import event
 
 EVACUATED = event(
-    4620, 'INFO', 'data_centre_evacuated', 'servers of a data centre are sent nothing new from here'
+    4620,
+    'INFO',
+    'data_centre_evacuated',
+    'this router sends no new requests to servers of a data centre',
 )
 TAKEN_BACK = event(
-    4621, 'INFO', 'data_centre_taken_back', 'servers of a data centre are sent requests again'
+    4621,
+    'INFO',
+    'data_centre_taken_back',
+    'this router sends requests to servers of a data centre again',
 )
--- a/packages/fleet/src/endivesaddle/fleet/routes/header_names.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/header_names.py
@@ -1,4 +1,4 @@
-"""The header names of forwarded requests, so that an adapter can use its platform's."""
+"""The header names of forwarded requests, which an adapter can replace by its platform's."""
 
 from typing import NamedTuple
 
@@ -8,7 +8,7 @@
         'proxy-connection', 'te', 'trailer', 'transfer-encoding', 'upgrade', 'expect',
     )
 )  # fmt: skip
-"""Headers that speak of one connection alone."""
+"""Headers that apply to one connection only."""
 LENGTH = 'content-length'
 GENERAL = frozenset(
     (
@@ -17,19 +17,19 @@
         'expires', 'last-modified', 'link', 'location', 'pragma', 'server', 'vary', 'via',
     )
 )  # fmt: skip
-"""Headers of answers that HTTP itself defines, and that are between server and caller."""
+"""Response headers defined by HTTP that concern only server and caller."""
 
 
 class HeaderNames(NamedTuple):
     """The header names that a platform uses, in lower case.
 
-    ``reserved`` are set by the router alone: what a caller sends under these
-    names is dropped.  ``seal`` is the server's word that an answer is its own,
-    ``declined`` its word that it did not run a request, ``lifetime`` names the
-    life of a server that may run it, ``leaving`` (with "1") is a server's word
-    that it takes no more requests in this life, ``limit`` the requests a second
-    that it takes from all routers.  ``passed`` are headers of answers that
-    callers read and that decide nothing here.
+    Only the router sets ``reserved`` headers: those that a caller sends are
+    dropped.  By ``seal`` a server confirms that a response is its own, by
+    ``declined`` that it did not run the request.  ``lifetime`` names the
+    incarnation of the server that may run it.  By ``leaving`` (with "1") a server
+    announces that this incarnation accepts no more requests, by ``limit`` the
+    requests a second that it accepts from all routers together.  ``passed`` are
+    response headers that are relayed to callers and have no effect on routing.
     """
 
     request_id: str = 'endivesaddle-request-id'
@@ -62,10 +62,10 @@
 
     @property
     def signals(self) -> dict[str, str]:
-        """The header of each signal that servers give of themselves, by the signal's name."""
+        """The header of each signal by which servers describe themselves, by the signal's name."""
         return {'leaving': self.leaving, 'limit': self.limit, 'retry_after': self.retry_after}
 
     @property
     def read_from_responses(self) -> tuple[str, ...]:
-        """The headers of servers' answers that are read."""
+        """The response headers that the router reads."""
         return (self.request_id, self.seal, self.declined, *self.signals.values())
--- a/packages/fleet/src/endivesaddle/fleet/routes/leaving_servers.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/leaving_servers.py
@@ -1,55 +1,56 @@
-"""Servers that said in an answer that they leave.
+"""Servers that announced in a response that they are leaving.
 
-Failure: the store was down, so that no entry told of it; the server said so in its answers, which
-went to callers unread, and requests went on to it.  Later words of the store or of other routers
-may be older than the answer: a life that has said so leaves for good.
+Failure: while the store was down, no entry could show that a server was leaving.  The server said
+so in its responses, but these were relayed to callers unread, and it kept getting requests.  Later
+entries or reports may be older than the response, so an incarnation that has announced that it is
+leaving counts as leaving for good.
 """
 
 from collections.abc import Callable
 from typing import NamedTuple
 
-MOST_LIVES = 1024
-"""Lives that are remembered; of a fleet of 800 servers, all that leave within a day."""
+MAX_INCARNATIONS = 1024
+"""Incarnations that are remembered; in a fleet of 800 servers, all that leave within a day."""
 
 ANSWER = 'answer'
-"""The source of what a server said in an answer to this router."""
+"""The source of what a server announced in a response to this router."""
 
 Listener = Callable[[str, str], None]
 
 
 class LeavingIncarnation(NamedTuple):
-    """One life of a server; with ``born_unix_ms`` 0 its name stands for one life alone."""
+    """An incarnation of a server; if ``born_unix_ms`` is 0, its name has only one incarnation."""
 
     lifetime: str
     born_unix_ms: int
 
 
 class LeavingServers:
-    """The lives that one instance knows of; ``count`` numbers them."""
+    """The leaving incarnations that one instance knows; ``count`` numbers them."""
 
     def __init__(self) -> None:
-        """Start with none; listeners are told a lifetime, and who told of it."""
+        """Initialize without any; listeners get the lifetime and the source of each new one."""
         self.count = 0
         self.listeners: list[Listener] = []
-        self._lives: dict[LeavingIncarnation, int] = {}
+        self._incarnations: dict[LeavingIncarnation, int] = {}
 
-    def add(self, life: LeavingIncarnation, source: str) -> None:
-        """Take in that a life leaves."""
-        if life in self._lives:
+    def add(self, incarnation: LeavingIncarnation, source: str) -> None:
+        """Record that an incarnation is leaving."""
+        if incarnation in self._incarnations:
             return
         self.count += 1
-        self._lives[life] = self.count
-        if len(self._lives) > MOST_LIVES:
-            del self._lives[next(iter(self._lives))]
+        self._incarnations[incarnation] = self.count
+        if len(self._incarnations) > MAX_INCARNATIONS:
+            del self._incarnations[next(iter(self._incarnations))]
         for listener in self.listeners:
-            listener(life.lifetime, source)
+            listener(incarnation.lifetime, source)
 
-    def said(self, life: LeavingIncarnation) -> bool:
-        """Tell whether a life has said that it leaves."""
-        return life in self._lives
+    def is_leaving(self, incarnation: LeavingIncarnation) -> bool:
+        """Tell whether an incarnation has announced that it is leaving."""
+        return incarnation in self._incarnations
 
     def since(self, number: int) -> list[LeavingIncarnation]:
-        """Return the lives that came after the first ``number``, the oldest first."""
+        """Return the incarnations added after the first ``number``, the oldest first."""
         if number == self.count:
             return []
-        return [life for life, count in self._lives.items() if count > number]
+        return [incarnation for incarnation, count in self._incarnations.items() if count > number]
--- a/packages/fleet/src/endivesaddle/fleet/routes/peer_updates.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/peer_updates.py
@@ -94,7 +94,7 @@
         now_unix_s = self._clock.now_s()
         for limit in self._limits.since(number):
             yield routers_pb2.LimitWord(
-                life=limit.life, per_s=limit.per_s, age_s=now_unix_s - limit.observed_unix_s
+                life=limit.incarnation, per_s=limit.per_s, age_s=now_unix_s - limit.observed_unix_s
             )
 
     def _crash_messages(self, records: Iterable[CrashRecord]) -> Iterable[routers_pb2.CrashWord]:
--- a/packages/fleet/src/endivesaddle/fleet/routes/routing_state.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/routing_state.py
@@ -64,7 +64,9 @@
             return
         self.missing.pop(server.lifetime, None)
         self._written_versions[server.lifetime] = version
-        if self.leaving_servers.said(LeavingIncarnation(server.lifetime, server.born_unix_ms)):
+        if self.leaving_servers.is_leaving(
+            LeavingIncarnation(server.lifetime, server.born_unix_ms)
+        ):
             # That it is leaving, as it said in an answer, takes precedence over older entries.
             server = server._replace(leaving=True)
         if known == server:
--- a/packages/fleet/src/endivesaddle/fleet/routes/run_events.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/run_events.py
@@ -2,16 +2,16 @@
 
 from endivesaddle.fleet.events import event
 
-PLACED = event(2701, 'INFO', 'forward_placed', 'a request goes to a backend server')
+PLACED = event(2701, 'INFO', 'forward_placed', 'a request is sent to a backend server')
 SENDING_FAILED = event(
-    2702, 'INFO', 'forward_sending_failed', 'one sending brought no answer that can be passed on'
+    2702, 'INFO', 'forward_sending_failed', 'an attempt got no response that can be relayed'
 )
-SENT_AGAIN = event(2703, 'INFO', 'forward_sent_again', 'a request is sent to another server')
-NOT_SENT_AGAIN = event(
-    2704, 'INFO', 'forward_not_sent_again', 'a request is given up, and why it is not repeated'
+SENT_AGAIN = event(2703, 'INFO', 'forward_sent_again', 'a request is retried at another server')
+NOT_SENT_AGAIN = event(2704, 'INFO', 'forward_not_sent_again', 'a request is not retried, and why')
+REFUSED = event(2705, 'INFO', 'forward_refused', 'the router answers a request with an error')
+BROKEN = event(2706, 'WARNING', 'forward_broken', 'a streamed answer was broken off')
+ANSWERED = event(2707, 'INFO', 'forward_answered', 'the complete answer was sent to the caller')
+SETTLED = event(2708, 'INFO', 'forward_settled', 'the cost of a request is settled')
+GONE = event(
+    2709, 'INFO', 'forward_caller_gone', 'the caller disconnected before the answer was complete'
 )
-REFUSED = event(2705, 'INFO', 'forward_refused', 'a request gets an answer of our own')
-BROKEN = event(2706, 'WARNING', 'forward_broken', 'a streamed answer was cut midway')
-ANSWERED = event(2707, 'INFO', 'forward_answered', 'the whole answer went to the caller')
-SETTLED = event(2708, 'INFO', 'forward_settled', 'what the request cost is settled')
-GONE = event(2709, 'INFO', 'forward_caller_gone', 'the caller left before its answer was whole')
--- a/packages/fleet/src/endivesaddle/fleet/routes/stored_crashes.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/stored_crashes.py
@@ -1,7 +1,7 @@
-"""Keep records of requests that ended servers in the store, for a fleet that starts anew.
+"""Persist the records of requests that crash servers, for a fleet that restarts as a whole.
 
-Failure: all routers lost power, and with them went what they had told each other; the request came
-again, and ended three more servers.
+Failure: all routers lost power, and with it the records that they had sent each other; the request
+was sent again and crashed three more servers.
 """
 
 import anyio
@@ -16,59 +16,60 @@
 from endivesaddle.fleet.sentinels import Absent, Conflict
 
 PREFIX = 'endivesaddle/crashes/'
-WRITTEN_ENDS = 2
-"""What ran beside such a request is mostly lost once: written, each end would cost many calls."""
+MIN_STORED_CRASHES = 2
+"""Crashes from which a record is stored.  Requests that ran beside the one that crashes servers
+mostly lost one run; to store them too would cost many calls for each crash."""
 LEASE_S = 600
-"""A record outlives its last change by this, the longest that the store keeps a lease."""
+"""A record expires this long after its last change, the longest lease that the store grants."""
 CALL_S = 0.6
-AWAY_S = 0.5
+RETRY_S = 0.5
 SOURCE = 'store'
 
 
 class StoredCrashes:
-    """One router's way to the records that lie in the store."""
+    """Synchronizes the crash records of one router with those in the store."""
 
     def __init__(self, store: ForwardStore, records: CrashRecords, clock: Clock) -> None:
-        """Read all once, and write what this router notes itself."""
+        """Read the stored records once into ``records``, and store those that this router adds."""
         self._store = store
         self._records = records
         self._clock = clock
         self._unwritten: dict[str, None] = {}
-        self._any = anyio.Event()
-        records.listeners.append(self._noted)
+        self._pending = anyio.Event()
+        records.listeners.append(self._enqueue)
 
     async def run(self) -> None:
-        """Read, and then write until cancelled."""
-        while not await self._tried_read():
-            await anyio.sleep(AWAY_S)
+        """Read all records, then write new ones until cancelled."""
+        while not await self._try_read():
+            await anyio.sleep(RETRY_S)
         while True:
-            await self._any.wait()
-            self._any = anyio.Event()
+            await self._pending.wait()
+            self._pending = anyio.Event()
             while self._unwritten:
                 digest = next(iter(self._unwritten))
-                if await self._tried_write(digest):
+                if await self._try_write(digest):
                     self._unwritten.pop(digest, None)
                 else:
-                    await anyio.sleep(AWAY_S)
+                    await anyio.sleep(RETRY_S)
 
-    def _noted(self, digest: str) -> None:
+    def _enqueue(self, digest: str) -> None:
         record = self._records.find(digest)
-        if record is not None and len(record.ended) >= WRITTEN_ENDS:
+        if record is not None and len(record.ended) >= MIN_STORED_CRASHES:
             self._unwritten[digest] = None
-            self._any.set()
+            self._pending.set()
 
-    async def _tried_read(self) -> bool:
+    async def _try_read(self) -> bool:
         try:
             found = await self._store.list(PREFIX, self._clock.now_s() + CALL_S)
         except StoreUnreachable as error:
             events.UNWRITTEN.log(call='read', digest='', reason=str(error))
             return False
         for stored in found:
-            self._hear(stored)
+            self._merge(stored)
         return True
 
-    async def _tried_write(self, digest: str) -> bool:
-        """Write a record joined with what lies there; False where it is to be tried again."""
+    async def _try_write(self, digest: str) -> bool:
+        """Merge a record with the stored one and write it; return False if a retry is needed."""
         try:
             return await self._write(digest)
         except (StoreUnreachable, StoreWriteUnconfirmed) as error:
@@ -81,7 +82,7 @@
         found = await self._store.read(key, deadline_unix_s)
         version = 0 if isinstance(found, Absent) else found.version
         if isinstance(found, Stored):
-            self._hear(found)
+            self._merge(found)
         record = self._records.find(digest)
         if record is None:
             return True
@@ -91,7 +92,7 @@
         )
         return not isinstance(written, Conflict)
 
-    def _hear(self, stored: Stored) -> None:
+    def _merge(self, stored: Stored) -> None:
         try:
             record = msgspec.json.decode(stored.value or b'', type=CrashRecord)
         except msgspec.DecodeError as error:
--- a/packages/fleet/src/endivesaddle/fleet/routes/unread_names.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/unread_names.py
@@ -1,35 +1,35 @@
-"""Names that others use towards this instance and that nothing here reads, each logged once.
+"""Names in the store that this instance does not read, each logged once.
 
-Failure: the operator's key that evacuates a data centre and fields of cold servers were new and
-read by nobody; requests went on as before, and no line showed that anything was said.
+Failure: the operator's key that evacuates a data centre, and fields of cold servers, were new and
+no router read them; requests were sent as before, and no log line showed that they were ignored.
 """
 
 from collections.abc import Iterable
 
 from endivesaddle.fleet.routes import events
 
-MOST_NAMES = 64
-"""Names that are kept; who makes up names must fill neither the memory nor the log."""
-MOST_CHARACTERS = 40
-"""Of a name in the log."""
+MAX_NAMES = 64
+"""Names that are kept, so that arbitrary names fill neither the memory nor the log."""
+MAX_CHARACTERS = 40
+"""Characters of a name that are logged."""
 
 
 class UnreadNames:
-    """The names of fields and keys in the store that one instance met and does not read."""
+    """The names of fields and keys in the store that one instance found but does not read."""
 
     def __init__(self) -> None:
-        """Start without any."""
+        """Initialize without any."""
         self.names: set[str] = set()
 
-    def look(self, where: str, names: Iterable[str], known: frozenset[str]) -> None:
-        """Look at the names that are used in one kind of place; ``known`` need no line."""
+    def check(self, where: str, names: Iterable[str], known: frozenset[str]) -> None:
+        """Log the names at one kind of place that are not ``known``."""
         for name in names:
             if name not in known:
-                self._meet(where, name)
+                self._log_once(where, name)
 
-    def _meet(self, where: str, name: str) -> None:
-        met = f'{where} {name[:MOST_CHARACTERS]}'
-        if met in self.names or len(self.names) >= MOST_NAMES:
+    def _log_once(self, where: str, name: str) -> None:
+        met = f'{where} {name[:MAX_CHARACTERS]}'
+        if met in self.names or len(self.names) >= MAX_NAMES:
             return
         self.names.add(met)
-        events.NAME_UNREAD.log(where=where, met=name[:MOST_CHARACTERS])
+        events.NAME_UNREAD.log(where=where, met=name[:MAX_CHARACTERS])
--- a/packages/fleet/src/endivesaddle/fleet/routing/limit_shares.py
+++ b/packages/fleet/src/endivesaddle/fleet/routing/limit_shares.py
@@ -10,7 +10,7 @@
 from typing import NamedTuple
 
 from endivesaddle.fleet.registry import Registry
-from endivesaddle.fleet.routes.advertised_limits import MOST_LIVES, AdvertisedLimits
+from endivesaddle.fleet.routes.advertised_limits import MAX_INCARNATIONS, AdvertisedLimits
 from endivesaddle.fleet.routing.backends import Backend
 from endivesaddle.fleet.routing.rendezvous import weight
 
@@ -80,7 +80,7 @@
         incarnation = backend.server.incarnation
         if self._advertised and self._advertised.per_s(incarnation, now_unix_s):
             self._sent_unix_s[incarnation] = now_unix_s
-            if len(self._sent_unix_s) > MOST_LIVES:
+            if len(self._sent_unix_s) > MAX_INCARNATIONS:
                 del self._sent_unix_s[next(iter(self._sent_unix_s))]
 
     def next_send_unix_s(self, backend: Backend, now_unix_s: float) -> float:
