--- a/features/faults_pairs.feature
+++ b/features/faults_pairs.feature
@@ -1,6 +1,7 @@
 Feature: Two faults in one request
-  Pairs of faults at two steps of a request, drawn by a seed.  What one fault alone
-  must not do, two must not do either; but two may use up the request's deadline.
+  Pairs of faults at two steps of a request, drawn by a seed.  Two faults must not break the
+  promises that a single fault must not break, except that two may use up the request's
+  deadline.
 
   Scenario Outline: pairs drawn by seed <seed>
     When the fault matrix plays 20 pairs drawn by seed <seed>
@@ -13,9 +14,9 @@
       | 3 |
 
   Scenario Outline: the pair <first>, then <second>
-    Pairs that broke a promise once.  The caller has its answer after a retry or two; what
-    was wrong was the bill, which two holders or two attempts each left to the other.
-    When the fault matrix hits a <kind> request with "<first>" at "<one>", then "<second>" at "<two>"
+    Pairs that have broken a promise.  The caller got its answer after one or two retries, but
+    the request was not billed, as two holders or two attempts each left the bill to the other.
+    When the fault matrix plays a <kind> request with "<first>" at "<one>", then "<second>" at "<two>"
     Then the fault matrix finds every promise kept
 
     Examples: Pairs
--- a/features/faults_unrepeatable_streamed.feature
+++ b/features/faults_unrepeatable_streamed.feature
@@ -1,13 +1,13 @@
 Feature: Faults at every step of a request (unrepeatable, streamed)
-  One request is struck once, at each step of its life in turn.  The caller
-  sees an answer, an error or a broken connection; as long as it has no whole
-  answer it asks again, at other routers, under the same key.  What was struck
-  is healed half a minute later.  Then all promises are checked at rest.
+  A fault is injected once into a request, at each step of its life cycle in turn.  The
+  caller gets an answer, an error or a broken connection.  Until it has a whole answer, it
+  retries at other routers with the same key.  The fault is repaired half a minute later.
+  All promises are checked once the fleet is idle.
 
   Scenario Outline: unrepeatable streamed: <fault>
-    When the fault matrix strikes with "<fault>" at every step of a unrepeatable streamed request
+    When the fault matrix injects "<fault>" at every step of one unrepeatable streamed request
     Then the fault matrix finds every promise kept
-    And the fault matrix has struck at every step
+    And the fault matrix has injected the fault at every step
 
     Examples: Faults
       | fault |
--- a/features/steps/faults_steps.py
+++ b/features/steps/faults_steps.py
@@ -7,8 +7,8 @@
 from subjects import fault_matrix
 
 
-@when('the fault matrix strikes with "{fault}" at every step of a {kind} request')
-def strike(context: Any, fault: str, kind: str) -> None:
+@when('the fault matrix injects "{fault}" at every step of one {kind} request')
+def inject(context: Any, fault: str, kind: str) -> None:
     """Play one row of cells, each with its own fleet."""
     context.results = fault_matrix.play_row(fault, kind)
 
@@ -20,7 +20,7 @@
 
 
 @when(
-    'the fault matrix hits a {kind} request with "{first}" at "{one}", then "{second}" at "{two}"'
+    'the fault matrix plays a {kind} request with "{first}" at "{one}", then "{second}" at "{two}"'
 )
 def play_pair(context: Any, kind: str, first: str, one: str, second: str, two: str) -> None:
     """Play one pair of faults by name."""
@@ -34,8 +34,8 @@
     assert not found, '\n'.join(found)
 
 
-@then('the fault matrix has struck at every step')
-def struck(context: Any) -> None:
+@then('the fault matrix has injected the fault at every step')
+def injected(context: Any) -> None:
     """Check that every step was reached: other cells would prove nothing."""
-    missed = [row.cell.name for row in context.results if not row.struck]
+    missed = [row.cell.name for row in context.results if not row.injected]
     assert not missed, missed
--- a/features/subjects/fault_matrix.py
+++ b/features/subjects/fault_matrix.py
@@ -1,4 +1,4 @@
-"""The cells of the fault matrix, and the playing of one."""
+"""The cells of the fault matrix, and the code that plays a cell."""
 
 import itertools
 import random
@@ -19,13 +19,13 @@
 
     step: str
     fault: str
-    once: bool
+    unrepeatable: bool
     stream: bool
 
     @property
     def name(self) -> str:
-        """The name by which docs/FAULTS.md lists it."""
-        return f'{self.fault} / {self.step} / {kind_name(self.once, self.stream)}'
+        """The name of the cell in docs/FAULTS.md."""
+        return f'{self.fault} / {self.step} / {kind_name(self.unrepeatable, self.stream)}'
 
 
 class Pair(NamedTuple):
@@ -36,41 +36,41 @@
 
     @property
     def name(self) -> str:
-        """The name by which it is listed."""
+        """The name of the pair, from those of its cells."""
         return f'{self.first.name} + {self.second.fault} / {self.second.step}'
 
 
 class Result(NamedTuple):
-    """What a cell came to; ``outcomes`` are what each try of the caller got."""
+    """The result of a cell; ``outcomes`` has one entry for each try of the caller."""
 
     cell: Cell | Pair
     broken: list[str]
     outcomes: tuple[str, ...]
     arrivals: int
-    struck: bool
+    injected: bool
 
 
-def kind_name(once: bool, stream: bool) -> str:
-    """Name a kind of request."""
-    repeated = 'unrepeatable' if once else 'repeatable'
+def kind_name(unrepeatable: bool, stream: bool) -> str:
+    """Return the name of a kind of request."""
+    repeated = 'unrepeatable' if unrepeatable else 'repeatable'
     return f'{repeated} {"streamed" if stream else "whole"}'
 
 
 def cells() -> Iterator[Cell]:
-    """Yield all cells; steps that a kind doesn't have are left out."""
+    """Yield all cells, without those whose step doesn't exist for their kind of request."""
     kinds = itertools.product((False, True), (False, True))
-    for (once, stream), fault, step in itertools.product(kinds, faults, STEPS):
-        if STEPS[step].exists(once, stream):
-            yield Cell(step, fault, once, stream)
+    for (unrepeatable, stream), fault, step in itertools.product(kinds, faults, STEPS):
+        if STEPS[step].exists(unrepeatable, stream):
+            yield Cell(step, fault, unrepeatable, stream)
 
 
 def pairs(count: int, seed: int) -> list[Pair]:
-    """Draw pairs of cells of one kind of request, the second at a later step."""
+    """Draw pairs of cells, both of one kind of request, the second at a later step."""
     draw = random.Random(seed)
     order = list(STEPS)
     by_kind: dict[str, list[Cell]] = {}
     for cell in cells():
-        by_kind.setdefault(kind_name(cell.once, cell.stream), []).append(cell)
+        by_kind.setdefault(kind_name(cell.unrepeatable, cell.stream), []).append(cell)
     found: list[Pair] = []
     while len(found) < count:
         first, second = draw.sample(draw.choice(list(by_kind.values())), 2)
@@ -79,21 +79,21 @@
     return found
 
 
-def play_named(kind: str, *strikes: tuple[str, str]) -> Result:
-    """Play a pair of faults, each with its step, for one kind of request by its name."""
+def play_named(kind: str, *injections: tuple[str, str]) -> Result:
+    """Play a pair of (fault, step) names for one named kind of request."""
     chosen = [
         cell
-        for fault, step in strikes
+        for fault, step in injections
         for cell in cells()
-        if (cell.fault, cell.step, kind_name(cell.once, cell.stream)) == (fault, step, kind)
+        if (cell.fault, cell.step, kind_name(cell.unrepeatable, cell.stream)) == (fault, step, kind)
     ]
     return play(Pair(*chosen))
 
 
 def play_row(fault: str, kind: str) -> list[Result]:
-    """Play a fault at every step, for one kind of request by its name."""
+    """Play a fault at every step, for one named kind of request."""
     chosen = (cell for cell in cells() if cell.fault == fault)
-    return [play(cell) for cell in chosen if kind_name(cell.once, cell.stream) == kind]
+    return [play(cell) for cell in chosen if kind_name(cell.unrepeatable, cell.stream) == kind]
 
 
 def play(cell: Cell | Pair) -> Result:
@@ -104,19 +104,19 @@
 
 async def _play(cell: Cell | Pair, parts: Sequence[Cell]) -> Result:
     async with open_fleet() as fleet:
-        scene = Scene(fleet, parts[0].once, parts[0].stream)
+        scene = Scene(fleet, parts[0].unrepeatable, parts[0].stream)
         single = len(parts) == 1
         scene.expected = Expected(
             single=single,
             graceful=single and parts[0].fault in GRACEFUL,
-            frozen=any(part.fault == 'router pauses' for part in parts),
+            paused=any(part.fault == 'router pauses' for part in parts),
         )
         await scene.open()
         for part in parts:
-            scene.strike_at(STEPS[part.step], faults.find(part.fault))
+            scene.inject_at(STEPS[part.step], faults.find(part.fault))
         await scene.play()
         outcomes = tuple(_outcome(done) for done in scene.tries)
-        return Result(cell, broken(scene), outcomes, scene.arrivals(), scene.struck_all)
+        return Result(cell, broken(scene), outcomes, scene.arrivals(), scene.injected_all)
 
 
 def _outcome(done: Try) -> str:
--- a/features/subjects/fault_scene.py
+++ b/features/subjects/fault_scene.py
@@ -1,4 +1,4 @@
-"""One scene of the fault matrix: a fleet, a caller who retries, and one strike."""
+"""One scene of the fault matrix: a fleet, a caller that retries, and injected faults."""
 
 from collections import Counter
 from typing import Any, NamedTuple
@@ -13,7 +13,7 @@
 from endivesaddle.stand_ins.memory_fleet import MemoryFleet, Place
 from endivesaddle.stand_ins.memory_peers import Fault, Moment
 from endivesaddle.wire import rpcs
-from subjects.fault_tables import Step, Strike
+from subjects.fault_tables import Injection, Step
 
 KEY = 'key-of-atelier'
 ACCOUNT = 'atelier'
@@ -22,15 +22,15 @@
 REQUEST_KEY = f'{ACCOUNT}/{REQUEST}'
 CHAT = '/v1/chat/completions'
 REQUEST_TIMEOUT_S = 15.0
-CALLER_PATIENCE_S = 20.0
+CALLER_TIMEOUT_S = 20.0
 HEAL_AFTER_S = 30.0
-HEAL_LOOK_S = 0.1
+HEAL_POLL_S = 0.1
 TRIES = 7
 SLOW_TOKEN_S = 1.5
-TRIES_ONCE = 4
+UNREPEATABLE_TRIES = 4
 SETTLE_S = 75.0
 BILL_WITHIN_S = 20.0
-"""Shorter than in service, so that a scene comes to rest soon."""
+"""Shorter than the default, so that a scene becomes idle soon."""
 DECLARATIONS = f"""
 [data_centres]
 porto-a = "porto"
@@ -71,7 +71,7 @@
 
 
 class Try(NamedTuple):
-    """One call of the caller: what came back, and what engines had seen before it."""
+    """One call of the caller: the response, and how often engines had the request before."""
 
     router: str
     got: Got
@@ -81,31 +81,32 @@
 
     @property
     def whole(self) -> bool:
-        """Tell whether the caller got a complete, good answer."""
+        """Tell whether the caller got a complete answer without an error."""
         return self.got.complete and self.got.status == 200 and b'"error"' not in self.got.body
 
 
 class Expected(NamedTuple):
-    """What the faults of a scene leave of the promises.
+    """Which promises apply under the faults of a scene.
 
-    ``single``: one fault alone; two may use up a request's deadline.  ``graceful``:
-    it is a stop that must cut nothing.  ``frozen``: the router can't answer in time.
+    ``single``: there is only one fault; two may use up a request's deadline.
+    ``graceful``: the fault is a stop that must cut no request. ``paused``: the router can't
+    answer in time.
     """
 
     single: bool = True
     graceful: bool = False
-    frozen: bool = False
+    paused: bool = False
 
 
 class Scene:
-    """A fleet of two data centres, struck once at a step of a request."""
+    """A fleet of two data centres, with faults injected at steps of a request."""
 
-    def __init__(self, fleet: MemoryFleet, once: bool, stream: bool) -> None:
-        """``once``: the request may not be repeated."""
+    def __init__(self, fleet: MemoryFleet, unrepeatable: bool, stream: bool) -> None:
+        """Initialize; ``unrepeatable`` is set if the request may not be repeated."""
         self.fleet = fleet
         fleet.shards = {shard_of(ACCOUNT)}
         fleet.requests = RequestSettings(settle_until_s=BILL_WITHIN_S)
-        self.once = once
+        self.unrepeatable = unrepeatable
         self.stream = stream
         self.near = 'porto-a'
         self.far = 'porto-b'
@@ -114,18 +115,18 @@
         self.sidecar = 's1'
         self.engines: dict[str, EngineState] = {}
         self.tries: list[Try] = []
-        self.struck_unix_s = 0.0
+        self.injected_unix_s = 0.0
         self.reverted: list[str] = []
         self.expected = Expected()
-        self._strikes: list[tuple[Step, Strike]] = []
+        self._pending: list[tuple[Step, Injection]] = []
         self._passed: Counter[tuple[str, str]] = Counter()
-        self._beside = anyio.Event()
+        self._retry_now = anyio.Event()
         self._revisions: dict[str, int] = {}
 
     @property
-    def struck_all(self) -> bool:
-        """Tell whether every strike came to its step."""
-        return not self._strikes
+    def injected_all(self) -> bool:
+        """Tell whether every fault was injected."""
+        return not self._pending
 
     async def open(self) -> None:
         """Start the fleet and apply the declarations."""
@@ -142,19 +143,19 @@
         await anyio.sleep(4)
         self._find_places()
 
-    def strike_at(self, step: Step, strike: Strike) -> None:
-        """Strike when the step is reached; several strikes wait for their own steps."""
-        self._strikes.append((step, strike))
+    def inject_at(self, step: Step, inject: Injection) -> None:
+        """Inject a fault when its step is reached; each of several waits for its own step."""
+        self._pending.append((step, inject))
         self.fleet.net.observers = [self._observe]
 
     async def play(self) -> None:
-        """Have the caller ask, and ask again, until it has a final answer."""
+        """Have the caller send the request and retry it until it has a whole answer."""
         async with anyio.create_task_group() as group:
             group.start_soon(self._watch_revisions)
             group.start_soon(self._heal_later)
-            group.start_soon(self._ask_beside)
-            for number in range(TRIES_ONCE if self.once else TRIES):
-                done = await self._ask(self._router_of(number), number)
+            group.start_soon(self._retry_on_signal)
+            for number in range(UNREPEATABLE_TRIES if self.unrepeatable else TRIES):
+                done = await self._send(self._router_of(number), number)
                 if done.whole:
                     break
                 await anyio.sleep(4 * (number + 1))
@@ -162,30 +163,30 @@
             group.cancel_scope.cancel()
 
     def arrivals(self) -> int:
-        """Return how often engines got the request."""
+        """Return how often engines received the request."""
         seen = [key for engine in self.engines.values() for key in engine.seen]
         return seen.count(REQUEST_KEY)
 
-    def part(self, one: str, other: str) -> None:
-        """Part two instances."""
+    def partition(self, one: str, other: str) -> None:
+        """Partition two instances."""
         running = self.fleet.running
         self.fleet.net.part({running[one].address}, {running[other].address})
 
     def one_way(self, sender: str, receiver: str, fault: Fault) -> None:
-        """Put a fault on one direction between two instances."""
+        """Put a fault on the messages from one instance to another."""
         running = self.fleet.running
         pair = (running[sender].address, running[receiver].address)
         self.fleet.net.faults[pair] = fault
 
     def from_router(self, fault: Fault) -> None:
-        """Put a fault on all that the entry router sends."""
+        """Put a fault on all messages of the entry router."""
         for name in self.fleet.running:
             if name != self.entry:
                 self.one_way(self.entry, name, fault)
 
-    def retry_beside(self) -> None:
-        """Have the caller ask a router of the other data centre now."""
-        self._beside.set()
+    def retry_concurrently(self) -> None:
+        """Have the caller retry at a router of the other data centre now."""
+        self._retry_now.set()
 
     def stop(self, name: str) -> None:
         """Stop an instance gracefully, and kill it once it has drained.
@@ -200,7 +201,7 @@
         group.start_soon(self._stop, name)
 
     def routers(self) -> list[str]:
-        """Return the names of the routers that live."""
+        """Return the names of the running routers."""
         return [
             name
             for name, running in self.fleet.running.items()
@@ -222,7 +223,10 @@
         self.entry = 'r2' if self.holder == 'r1' else 'r1'
 
     def _router_of(self, number: int) -> str:
-        """Return the entry, then others of the other data centre first, as a balancer may."""
+        """Return the entry router for the first try, then other running routers in turn.
+
+        The order starts in the other data centre, as a load balancer may choose.
+        """
         if number == 0:
             return self.entry
         order = ['r3', self.holder, 'r4', self.entry]
@@ -234,11 +238,11 @@
         ]
         return alive[(number - 1) % len(alive)]
 
-    async def _ask(self, router: str, number: int) -> Try:
+    async def _send(self, router: str, number: int) -> Try:
         caller = self.fleet.caller(router, KEY)
-        caller.timeout_s = CALLER_PATIENCE_S
+        caller.timeout_s = CALLER_TIMEOUT_S
         body = {
-            'model': 'once' if self.once else 'board',
+            'model': 'once' if self.unrepeatable else 'board',
             'messages': [{'role': 'user', 'content': 'hello there'}],
             'max_tokens': 20,
             'stream': self.stream,
@@ -255,23 +259,23 @@
         self.tries.append(done)
         return done
 
-    async def _ask_beside(self) -> None:
-        await self._beside.wait()
-        await self._ask('r3', 1)
+    async def _retry_on_signal(self) -> None:
+        await self._retry_now.wait()
+        await self._send('r3', 1)
 
     async def _observe(self, moment: Moment) -> None:
         self._passed[moment.phase, moment.path] += 1
-        for step, strike in list(self._strikes):
+        for step, inject in list(self._pending):
             wanted = (step.phase, step.path)
             if wanted == (moment.phase, moment.path) and self._passed[wanted] >= step.nth:
-                self._strikes.remove((step, strike))
-                self._hit(moment, strike)
+                self._pending.remove((step, inject))
+                self._inject(moment, inject)
 
-    def _hit(self, moment: Moment, strike: Strike) -> None:
+    def _inject(self, moment: Moment, inject: Injection) -> None:
         if moment.path in {rpcs.START.path, rpcs.FOLLOW.path}:
             self._name_sidecar(moment.receiver)
-        self.struck_unix_s = self.fleet.clock.now_s()
-        strike(self)
+        self.injected_unix_s = self.fleet.clock.now_s()
+        inject(self)
 
     def _name_sidecar(self, address: str) -> None:
         for name, running in self.fleet.running.items():
@@ -279,12 +283,12 @@
                 self.sidecar = name
 
     async def _heal_later(self) -> None:
-        """Heal what each strike broke, a while after it."""
+        """Repair each fault a while after its injection."""
         healed_unix_s = 0.0
         while True:
-            await anyio.sleep(HEAL_LOOK_S)
-            due_unix_s = self.struck_unix_s + HEAL_AFTER_S
-            if healed_unix_s < self.struck_unix_s and due_unix_s <= self.fleet.clock.now_s():
+            await anyio.sleep(HEAL_POLL_S)
+            due_unix_s = self.injected_unix_s + HEAL_AFTER_S
+            if healed_unix_s < self.injected_unix_s and due_unix_s <= self.fleet.clock.now_s():
                 healed_unix_s = self.fleet.clock.now_s()
                 self._heal()
 
@@ -301,7 +305,7 @@
                 self.fleet.restart(name)
 
     async def _watch_revisions(self) -> None:
-        """Note every instance whose configuration goes back within one incarnation."""
+        """Note every instance that returns to an older revision within one incarnation."""
         while True:
             for name, running in self.fleet.running.items():
                 node: Any = running.node
--- a/features/subjects/fault_tables.py
+++ b/features/subjects/fault_tables.py
@@ -1,7 +1,7 @@
-"""The two tables of the fault matrix: steps of a request's life, and faults.
+"""The two tables of the fault matrix: the steps of a request, and the faults.
 
-A step says which message or event to strike at; a fault is a function of the
-scene, entered into a registry by its name.
+A step names the message at which a fault is injected. A fault is a function of the scene,
+registered by its name.
 """
 
 from collections.abc import Callable, Mapping
@@ -17,29 +17,30 @@
 
 
 class Step(NamedTuple):
-    """A step of a request's life, as something that passes a link.
+    """A step of a request, identified by a message between two instances.
 
-    ``nth`` counts the passings; ``once_only`` steps exist only for requests
-    that may not be repeated, ``streamed_only`` ones only for streamed answers.
+    ``nth`` is the number of the message among those of its kind. ``unrepeatable_only`` steps
+    exist only for requests that may not be repeated, ``streamed_only`` ones only for streamed
+    answers.
     """
 
     phase: str
     path: str
     nth: int = 1
-    once_only: bool = False
+    unrepeatable_only: bool = False
     streamed_only: bool = False
 
-    def exists(self, once: bool, stream: bool) -> bool:
+    def exists(self, unrepeatable: bool, stream: bool) -> bool:
         """Tell whether a kind of request has this step."""
-        return (once or not self.once_only) and (stream or not self.streamed_only)
+        return (unrepeatable or not self.unrepeatable_only) and (stream or not self.streamed_only)
 
 
 STEPS: Mapping[str, Step] = MappingProxyType(
     {
         'claim is asked': Step('asked', rpcs.CLAIM.path),
         'claim is granted': Step('answered', rpcs.CLAIM.path),
-        'copy is asked': Step('asked', rpcs.COPY.path, once_only=True),
-        'copy is kept': Step('answered', rpcs.COPY.path, once_only=True),
+        'copy is asked': Step('asked', rpcs.COPY.path, unrepeatable_only=True),
+        'copy is kept': Step('answered', rpcs.COPY.path, unrepeatable_only=True),
         'dispatch is asked': Step('asked', rpcs.NOTE.path),
         'dispatch is written': Step('answered', rpcs.NOTE.path),
         'start is asked': Step('asked', rpcs.START.path),
@@ -50,15 +51,15 @@
         'request is settled': Step('answered', rpcs.SETTLE.path),
     }
 )
-"""Every step of a request without a retry, in order."""
+"""All steps of a request without a retry, in order."""
 
-Strike = Callable[['Scene'], None]
-faults: Registry[Strike] = Registry('fault')
+Injection = Callable[['Scene'], None]
+faults: Registry[Injection] = Registry('fault')
 
 
 @faults.add('router dies')
 def router_dies(scene: 'Scene') -> None:
-    """Kill the router that the caller speaks to."""
+    """Kill the router that serves the caller."""
     scene.fleet.kill(scene.entry)
 
 
@@ -70,13 +71,13 @@
 
 @faults.add('sidecar dies')
 def sidecar_dies(scene: 'Scene') -> None:
-    """Kill the sidecar that runs the request; the engine's work ends with its link."""
+    """Kill the sidecar of the run; the engine stops when its connection closes."""
     scene.fleet.kill(scene.sidecar)
 
 
 @faults.add('backend server dies')
 def server_dies(scene: 'Scene') -> None:
-    """Let the engine die: what runs breaks off, nothing new reaches it."""
+    """Kill the engine: its run breaks off, and new requests don't reach it."""
     switches = scene.engines[scene.sidecar].switches
     switches.unreachable = True
     switches.die_after_tokens = 2
@@ -84,62 +85,62 @@
 
 @faults.add('router pauses')
 def router_pauses(scene: 'Scene') -> None:
-    """Freeze the router; it wakes later and goes on where it was."""
+    """Pause the router; it resumes later in the state that it had."""
     scene.fleet.pause(scene.entry)
 
 
 @faults.add('holder pauses')
 def holder_pauses(scene: 'Scene') -> None:
-    """Freeze the holder; it wakes and believes that it still holds its shards."""
+    """Pause the holder; when it resumes, it assumes that it still holds its shards."""
     scene.fleet.pause(scene.holder)
 
 
 @faults.add('sidecar pauses')
 def sidecar_pauses(scene: 'Scene') -> None:
-    """Freeze the sidecar; it wakes and goes on."""
+    """Pause the sidecar; it resumes later in the state that it had."""
     scene.fleet.pause(scene.sidecar)
 
 
 @faults.add('router and sidecar part')
 def router_sidecar_part(scene: 'Scene') -> None:
-    """Part the router and the sidecar: nothing is told to either."""
-    scene.part(scene.entry, scene.sidecar)
+    """Partition the router and the sidecar, without an error to either of them."""
+    scene.partition(scene.entry, scene.sidecar)
 
 
 @faults.add('router and holder part')
 def router_holder_part(scene: 'Scene') -> None:
-    """Part the router and the holder."""
-    scene.part(scene.entry, scene.holder)
+    """Partition the router and the holder."""
+    scene.partition(scene.entry, scene.holder)
 
 
 @faults.add('holder and sidecar part')
 def holder_sidecar_part(scene: 'Scene') -> None:
-    """Part the holder and the sidecar."""
-    scene.part(scene.holder, scene.sidecar)
+    """Partition the holder and the sidecar."""
+    scene.partition(scene.holder, scene.sidecar)
 
 
 @faults.add('data centres part')
 def data_centres_part(scene: 'Scene') -> None:
-    """Part the two data centres."""
+    """Partition the two data centres."""
     near = scene.fleet.addresses(scene.near)
     scene.fleet.net.part(near, scene.fleet.addresses(scene.far))
 
 
 @faults.add('sidecar falls silent to router')
 def silent_back(scene: 'Scene') -> None:
-    """Lose all that comes from the sidecar, while it hears everything."""
+    """Lose all messages from the sidecar to the router, in this direction only."""
     scene.one_way(scene.sidecar, scene.entry, Fault.SILENT)
 
 
 @faults.add('router falls silent to sidecar')
 def silent_forth(scene: 'Scene') -> None:
-    """Lose all that the router sends to the sidecar, while it hears everything."""
+    """Lose all messages from the router to the sidecar, in this direction only."""
     scene.one_way(scene.entry, scene.sidecar, Fault.SILENT)
 
 
 @faults.add('replies to router are lost')
 def replies_lost(scene: 'Scene') -> None:
-    """Let the router's messages arrive and their replies vanish."""
+    """Deliver the router's messages and lose the replies."""
     scene.from_router(Fault.LOST_REPLY)
 
 
@@ -151,7 +152,7 @@
 
 @faults.add('messages of router come late')
 def late(scene: 'Scene') -> None:
-    """Deliver each message of the router seconds after it was given up."""
+    """Deliver each message of the router seconds after its call timed out."""
     scene.from_router(Fault.LATE)
 
 
@@ -163,33 +164,33 @@
 
 @faults.add('chunks of sidecar come twice')
 def chunks_twice(scene: 'Scene') -> None:
-    """Deliver each piece of the answer twice."""
+    """Deliver each chunk of the answer twice."""
     scene.one_way(scene.sidecar, scene.entry, Fault.DUPLICATE)
 
 
 @faults.add('store is down')
 def store_down(scene: 'Scene') -> None:
-    """Take the store down."""
+    """Make the store unavailable."""
     scene.fleet.store.fail(down=True)
 
 
 @faults.add('store loses answers')
 def store_loses_answers(scene: 'Scene') -> None:
-    """Let the next writes take effect and lose their answers."""
+    """Let the next writes take effect and lose their replies."""
     scene.fleet.store.lose_answers = 20
 
 
 @faults.add('caller retries elsewhere')
 def retries_elsewhere(scene: 'Scene') -> None:
-    """Have the caller ask a router of the other data centre at the same time."""
-    scene.retry_beside()
+    """Have the caller retry at a router of the other data centre at the same time."""
+    scene.retry_concurrently()
 
 
 @faults.add('first attempt is held up, caller retries elsewhere')
 def held_up(scene: 'Scene') -> None:
-    """Slow the router down so that its messages overlap with the retry's."""
+    """Slow the router down so that its messages overlap with those of the retry."""
     scene.from_router(Fault.SLOW)
-    scene.retry_beside()
+    scene.retry_concurrently()
 
 
 @faults.add('router is told to stop')
--- a/tools/bench_faults.py
+++ b/tools/bench_faults.py
@@ -52,7 +52,7 @@
 
     A cell whose step was not reached proves nothing, and is named too.
     """
-    if not result.struck:
+    if not result.injected:
         print(f'{result.cell.name}: not struck', flush=True)
     for text in result.broken:
         print(f'{result.cell.name}: {text}', flush=True)
@@ -72,7 +72,7 @@
     print('\n| fault | cells | passed |\n|---|---|---|')
     for fault, passed in sorted(by_fault.items()):
         print(f'| {fault} | {len(passed)} | {sum(passed)} |')
-    print(f'\ncells: {len(results)}, struck: {sum(one.struck for one in results)}')
+    print(f'\ncells: {len(results)}, struck: {sum(one.injected for one in results)}')
     print('passed:', sum(not one.broken for one in results))
     outcomes = collections.Counter(outcome for one in results for outcome in one.outcomes)
     print('answers by outcome:', dict(outcomes.most_common()))
