--- a/packages/callers/src/endivesaddle/callers/__init__.py
+++ b/packages/callers/src/endivesaddle/callers/__init__.py
@@ -1,5 +1,5 @@
-"""The HTTP side towards callers and operators.
+"""The HTTP interface for callers and operators.
 
-Nothing is imported here: a forwarding router would load the other interface with its server,
-0.16 s of each start.
+This module imports nothing: a forwarding router would otherwise load the interface of other
+routers and its HTTP server, which takes 0.16 s at each start.
 """
--- a/packages/callers/src/endivesaddle/callers/accounts.py
+++ b/packages/callers/src/endivesaddle/callers/accounts.py
@@ -1,4 +1,4 @@
-"""Find the client account of a caller's key."""
+"""Lookup of client accounts and operators by key."""
 
 import hashlib
 
@@ -7,19 +7,19 @@
 
 
 def digest(key: str) -> str:
-    """Return the SHA-256 hex of a key or token, as the configuration keeps it."""
+    """Return the SHA-256 digest of a key or token, in hex as in the configuration."""
     return hashlib.sha256(key.encode()).hexdigest()
 
 
 class KeyIndex:
-    """Index accounts and operators by the digest of their keys.
+    """Index of accounts and operators by the digest of their keys.
 
-    The index is rebuilt when another revision comes into force, so that a key
-    taken out of the configuration stops working with that revision.
+    The index is rebuilt when another revision takes effect, so that a key removed from the
+    configuration stops working with that revision.
     """
 
     def __init__(self, view: FleetView) -> None:
-        """Index on the first question."""
+        """Initialize; the index is built at the first lookup."""
         self._view = view
         self._revision = -1
         self._accounts: dict[str, Account] = {}
--- a/packages/callers/src/endivesaddle/callers/app.py
+++ b/packages/callers/src/endivesaddle/callers/app.py
@@ -32,7 +32,7 @@
 
 
 class CallersApp:
-    """Answer callers, operators and the platform's health checks."""
+    """Serves callers, operators and the platform's health checks."""
 
     def __init__(
         self,
@@ -43,7 +43,7 @@
         operators: OperatorPort,
         state: StatePort,
     ) -> None:
-        """Hand requests to ``front`` and commands to ``operators``."""
+        """Initialize; requests go to ``front`` and commands to ``operators``."""
         self.cut_count = 0
         self._clock = clock
         self._context = Context(settings, front, view, operators, state, KeyIndex(view), Metrics())
@@ -61,25 +61,25 @@
 
     @property
     def settings(self) -> CallersSettings:
-        """The settings that the application was made with."""
+        """The settings of the application."""
         return self._context.settings
 
     @property
     def in_flight(self) -> int:
-        """How many requests of callers are open."""
+        """The number of callers' requests that are open."""
         return self._context.metrics.open_count
 
     async def _serve(self, exchange: Exchange) -> None:
         try:
             await find_handler(exchange)(self._context, exchange)
         except anyio.get_cancelled_exc_class():  # noqa: WPS455 (anyio names it by a call)
-            # Only the server cancels a request, when its time at a stop is over.
+            # Only the HTTP server cancels a request, when its time limit for a stop is over.
             self.cut_count += 1
             raise
         except CallerGone:
             events.GONE.log(path=exchange.path)
         except Exception as error:
-            # A fault of ours must not leave the caller without an answer, nor end others.
+            # A bug in the router must not leave the caller without an answer or end others.
             events.FAULT.log(path=exchange.path, error=repr(error))
             if not exchange.started:
                 await exchange.reply(_FAULT.status, error_body(_FAULT))
--- a/packages/callers/src/endivesaddle/callers/bodies.py
+++ b/packages/callers/src/endivesaddle/callers/bodies.py
@@ -1,8 +1,8 @@
-"""The fields of model requests: which are known, and of what type.
+"""The supported fields of model requests and their types.
 
-A field that isn't listed is refused: it might lengthen the prompt or the
-answer beyond the bound that the budget reserves (templates, documents,
-predicted output), and the engine would then spend what nobody has reserved.
+A field that isn't listed is refused: it might make the prompt or the answer longer than the
+bound that is reserved in the budget (templates, documents, predicted output), so that the
+engine would use tokens that are not reserved.
 """
 
 from typing import Annotated, Any, Required, TypedDict
@@ -14,7 +14,7 @@
 
 
 class ModelBody(TypedDict, total=False):
-    """What chat completions and plain completions have in common."""
+    """The fields that chat completions and plain completions have in common."""
 
     model: Required[str]
     max_tokens: Positive | None
@@ -56,7 +56,7 @@
         'verbosity',
     )
 )
-"""Fields whose text a template may write into the prompt."""
+"""Fields whose content a template may add to the prompt."""
 
 _SAMPLING = frozenset(
     (
--- a/packages/callers/src/endivesaddle/callers/bounds.py
+++ b/packages/callers/src/endivesaddle/callers/bounds.py
@@ -1,18 +1,19 @@
-"""The worst case of a prompt, in tokens, without its tokenizer.
+"""Upper bound of a prompt's length in tokens, without its tokenizer.
 
-A prompt never has more tokens than bytes: a byte-level tokenizer merges bytes
-and never splits one, and one over Unicode characters falls back to the bytes
-of a character that it doesn't know.  Three things come on top, and are counted:
+A prompt never has more tokens than bytes: a byte-level tokenizer merges bytes and never
+splits one, and a tokenizer over Unicode characters falls back to the bytes of an unknown
+character. Three additions are counted as well:
 
-- tokenizers that normalize Unicode first see longer text where a character
+- some tokenizers normalize Unicode first, which makes the text longer where a character
   decomposes, so the longest normal form is counted;
-- chat templates write roles and special tokens around each message:
-  ``message_overhead_tokens`` of the model for each, and for the answer's head;
-- templates write tools and other JSON in their own layout, so it is counted
-  indented, with all but ASCII escaped, and with the escapes of HTML.
+- chat templates add roles and special tokens to each message, so
+  ``message_overhead_tokens`` of the model is counted for each message and for the head of
+  the answer;
+- templates format tools and other JSON in their own way, so JSON is counted indented, with
+  all non-ASCII characters escaped, and with HTML escapes.
 
-The bound is several times the real count for plain English; what isn't used
-is settled back when the run ends.
+The bound is several times the actual count for plain English; unused tokens are released
+when the run ends.
 """
 
 import json
@@ -31,7 +32,7 @@
 
 
 def text_bound(text: str) -> int:
-    """Return the most tokens that a text can have."""
+    """Return the maximum number of tokens of a text."""
     if text.isascii():
         return len(text)
     lengths = [_bytes(unicodedata.normalize(form, text)) for form in _FORMS]
@@ -39,15 +40,15 @@
 
 
 def json_bound(document: Any) -> int:
-    """Return the most tokens that a JSON document in a prompt can have."""
-    # Not msgspec: it can't escape what isn't ASCII, as the templates' JSON filter does.
+    """Return the maximum number of tokens of a JSON document in a prompt."""
+    # msgspec can't escape non-ASCII characters as the JSON filter of the templates does.
     written = json.dumps(document, indent=_INDENT)
     escapes = sum(written.count(character) for character in _HTML_ESCAPED)
     return len(written) + _HTML_EXTRA_BYTES * escapes
 
 
 def prefix_hashes(prompt: bytes) -> tuple[int, ...]:
-    """Return xxh3 hashes of a prompt's growing prefixes, block by block."""
+    """Return the xxh3 hashes of a prompt's prefixes, each one block longer than the last."""
     state = xxhash.xxh3_64()
     hashes: list[int] = []
     for start in range(0, len(prompt) - BLOCK_BYTES + 1, BLOCK_BYTES):
@@ -59,5 +60,5 @@
 
 
 def _bytes(text: str) -> int:
-    # JSON may carry lone surrogates; a tokenizer sees each as three bytes at the most.
+    # JSON may contain lone surrogates; a tokenizer reads each as at most three bytes.
     return len(text.encode('utf-8', 'surrogatepass'))
--- a/packages/callers/src/endivesaddle/callers/context.py
+++ b/packages/callers/src/endivesaddle/callers/context.py
@@ -1,4 +1,4 @@
-"""What the handlers of one router's routes share."""
+"""The context shared by the handlers of one router's routes."""
 
 from collections.abc import Awaitable, Callable
 from typing import NamedTuple
@@ -28,4 +28,4 @@
 Handler = Callable[[Context, Exchange], Awaitable[None]]
 
 routes: Registry[Handler] = Registry('route')
-"""Handlers by "METHOD /path"; a path that ends in /* takes all that start so."""
+"""Handlers by "METHOD /path"; a path that ends in /* matches all paths with that prefix."""
--- a/packages/callers/src/endivesaddle/callers/exchange.py
+++ b/packages/callers/src/endivesaddle/callers/exchange.py
@@ -1,7 +1,7 @@
-"""One HTTP exchange over ASGI: read the request, write the answer.
+"""One HTTP exchange over ASGI: reading of the request, writing of the answer.
 
-Sends wait until the caller's connection has taken what came before, so a slow
-caller slows its own answer down and nothing piles up here.
+A send waits until the caller's connection has accepted the previous data, so a slow caller
+slows down only its own answer and nothing is buffered here.
 """
 
 import asyncio
@@ -33,7 +33,7 @@
 
 
 class Exchange:
-    """A request's head, its body on demand, and the way back."""
+    """The head of a request, its body on demand, and its answer."""
 
     def __init__(
         self,
@@ -43,7 +43,7 @@
         settings: CallersSettings,
         began_unix_s: float,
     ) -> None:
-        """Take the three ASGI arguments and the time of arrival."""
+        """Initialize from the three ASGI arguments and the time of arrival."""
         self.began_unix_s = began_unix_s
         self._loop = asyncio.get_running_loop()
         self._receive = receive
@@ -71,12 +71,12 @@
 
     @property
     def target(self) -> str:
-        """The path as it came, still quoted, with its query."""
+        """The path as received, still quoted, with its query."""
         path = self.raw_path.partition('?')[0]
         return f'{path}?{self.query}' if self.query else path
 
     async def body(self, max_bytes: int) -> bytes | Invalid:
-        """Read the body, within the bounds of size and time."""
+        """Read the body, within the limits on size and time."""
         declared = self.headers.get(_LENGTH, '')
         if declared.isdigit() and int(declared) > max_bytes:
             return _too_large(max_bytes)
@@ -89,14 +89,14 @@
         )
 
     async def wait_disconnected(self) -> None:
-        """Return when the caller has closed its connection, or leaves its answer unread.
+        """Wait until the caller has closed its connection or leaves its answer unread.
 
-        It also drains what is left of a refused body: else the server's queue
-        towards this request fills up and its task never ends.
+        This also drains the rest of a refused body: otherwise the server's queue for this
+        request would fill up and its task would never end.
         """
-        # A caller that reads nothing, on a connection that stays open, would hold its run
-        # and its reservation for ever.  Looked at from here, now and then: a time-out
-        # around each send would cost more than all the rest of relaying.
+        # A caller that reads nothing on an open connection would hold its run and its
+        # reservation forever. It is detected here by a periodic check, since a timeout around
+        # each send would cost more than all the rest of relaying.
         while not self.stalled:
             with anyio.move_on_after(self._settings.send_within_s):
                 return await self._disconnected()
@@ -104,13 +104,13 @@
             self.stalled = sending_s >= self._settings.send_within_s
 
     async def start(self, status: int, headers: Headers) -> None:
-        """Send the head of the answer."""
+        """Send the status and headers of the answer."""
         self.started = True
         encoded = [(name.encode('latin-1'), value.encode('latin-1')) for name, value in headers]
         await self._put({'type': 'http.response.start', 'status': status, 'headers': encoded})
 
     async def write(self, data: bytes) -> None:
-        """Send a part of the answer; returns when the connection has room again."""
+        """Send a part of the answer; return when the connection has room again."""
         await self._put({'type': 'http.response.body', 'body': data, 'more_body': True})
 
     async def finish(self, data: bytes = b'') -> None:
@@ -119,9 +119,9 @@
         await self._put({'type': 'http.response.body', 'body': data, 'more_body': False})
 
     async def reply(self, status: int, data: bytes, headers: Headers = ()) -> None:
-        """Send a whole answer; JSON unless the headers say otherwise.
+        """Send a whole answer, as JSON unless the headers give another content type.
 
-        The answer to HEAD keeps the length that the headers name.
+        An answer to HEAD keeps the length given in the headers.
         """
         named = list(headers)
         names = {name for name, _ in named}
--- a/packages/callers/src/endivesaddle/callers/forward_app.py
+++ b/packages/callers/src/endivesaddle/callers/forward_app.py
@@ -1,4 +1,4 @@
-"""The ASGI application for requests on routes, and the one for health checks."""
+"""The ASGI applications for requests on routes and for health checks."""
 
 from collections.abc import Callable, MutableMapping
 from http import HTTPStatus
@@ -24,15 +24,15 @@
 JSON = 'application/json'
 CLOSE = ('connection', 'close')
 STARTING_AGAIN_S = 0.5
-"""A router that knows no declarations yet asks callers back after this."""
+"""Retry-after of a router that doesn't know the declarations yet."""
 ELSEWHERE_S = 0.05
-"""Another router takes a request on a new connection at once."""
+"""Retry-after if another router can accept the request on a new connection at once."""
 ALL_STOP_S = 2.0
-"""Where all routers stop, the first is back after some 2 s: it ends, and starts again."""
+"""Retry-after if all routers stop: the first one has restarted after about 2 s."""
 
 _STARTING = Refusal(
     'starting',
-    'this router does not know the declarations yet',
+    'this router has not loaded the declarations yet',
     NOT_RUN,
     HTTPStatus.SERVICE_UNAVAILABLE,
     STARTING_AGAIN_S,
@@ -40,19 +40,19 @@
 
 
 class Stopping:
-    """Whether this router stops: first no new connections, then no new requests."""
+    """The state of a graceful stop: first no new connections, then no new requests."""
 
     def __init__(self, others_stay: Callable[[], bool]) -> None:
-        """Start serving; ``others_stay`` tells whether callers find another router."""
+        """Initialize as serving; ``others_stay`` tells whether another router is available."""
         self.leaving = False
         self.refusing = False
         self._others_stay = others_stay
 
     def refusal(self) -> Refusal:
-        """Refuse a request, with the time after which another router takes it.
+        """Return the refusal, with the time after which another router accepts the request.
 
-        Where routers stop in turn, each before the last one is back, a caller that came back
-        at once met the next one that stops, and had no further try.
+        If all routers stop in turn, each before the previous one is back, a caller that
+        retried at once would meet the next stopping router and have no further try.
         """
         again_s = ELSEWHERE_S if self._others_stay() else ALL_STOP_S
         reason = 'this router stops'
@@ -61,10 +61,10 @@
 
 
 class AsgiSink:
-    """The way back to one caller."""
+    """Sends an answer to one caller."""
 
     def __init__(self, exchange: Exchange, parts: 'ForwardParts') -> None:
-        """Answer to ``exchange``; answers of the router's own name the request."""
+        """Initialize for ``exchange``; the router's own answers include the request id."""
         request_id = exchange.headers.get(parts.header_names.request_id, '')
         self._exchange = exchange
         self._own = ((parts.header_names.request_id, request_id),) if request_id else ()
@@ -78,22 +78,22 @@
         await self._exchange.start(status, (*headers, *self._extra))
 
     async def write(self, data: bytes) -> None:
-        """Send a part of it."""
+        """Send a part of the answer."""
         await self._exchange.write(data)
 
     async def finish(self) -> None:
-        """End it as complete."""
+        """End the answer as complete."""
         await self._exchange.finish()
 
     async def reply(self, status: int, headers: Pairs, body: bytes) -> None:
-        """Send a whole answer of a server."""
+        """Send the whole answer of a server."""
         self._count(status, '')
         length = (LENGTH, str(len(body)))
         await self._exchange.start(status, (*headers, length, *self._extra))
         await self._exchange.finish(body)
 
     async def refuse(self, refusal: Refusal) -> None:
-        """Send an answer of the router's own."""
+        """Send a refusal by the router itself."""
         self._count(refusal.status, refusal.code)
         headers = [('content-type', JSON), *self._own, *self._extra]
         if refusal.retry_after_s:
@@ -106,7 +106,7 @@
 
 
 class ForwardParts(NamedTuple):
-    """What the application works with."""
+    """The dependencies of the application."""
 
     settings: CallersSettings
     header_names: HeaderNames
@@ -118,10 +118,10 @@
 
 
 class ForwardApp:
-    """Forward requests on routes: one task for each."""
+    """Forwards requests on routes, each in its own task."""
 
     def __init__(self, parts: ForwardParts) -> None:
-        """Serve with ``parts``."""
+        """Initialize with its dependencies."""
         self._parts = parts
         self.open_count = 0
 
@@ -164,7 +164,7 @@
     async def _watch(
         self, exchange: Exchange, request: ForwardRequest, scope: anyio.CancelScope
     ) -> None:
-        """End the work when the caller leaves: nobody would get what it brings."""
+        """Cancel the work when the caller disconnects, as its result can't be delivered."""
         await exchange.wait_disconnected()
         if not exchange.ending:
             run_events.GONE.log(request_id=request.request_id)
@@ -193,10 +193,10 @@
 
 
 class ReadyApp:
-    """Answer the platform's question whether this router takes requests."""
+    """Answers the platform's readiness checks."""
 
     def __init__(self, ready: Callable[[], bool]) -> None:
-        """Ask ``ready`` each time."""
+        """Initialize; ``ready`` is called for each check."""
         self._ready = ready
         self._was = False
 
--- a/packages/callers/src/endivesaddle/callers/forward_metrics.py
+++ b/packages/callers/src/endivesaddle/callers/forward_metrics.py
@@ -1,4 +1,4 @@
-"""Counters and latency histograms of forwarding, and the page that shows them."""
+"""Counters and latency histograms of forwarding, and the page that exports them."""
 
 from collections.abc import Callable, MutableMapping
 from http import HTTPStatus
@@ -11,19 +11,19 @@
 from endivesaddle.fleet.routes.failover_store import StoreCall
 
 BUCKETS_S = (0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4, 12.8)
-"""Latencies from a tenth to some thirty times the goals of today's routes."""
+"""From a tenth to about thirty times the latency goals of the declared routes."""
 
 STORE_BUCKETS_S = (0.005, 0.01, 0.02, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5)
-"""The store answers in 4 ms; polls take up to 2.7 s."""
+"""The store usually answers in 4 ms; polls take up to 2.7 s."""
 
 State = Callable[[], dict[str, Any]]
 
 
 class ForwardMetrics:
-    """What became of requests, by kind of route and outcome."""
+    """Metrics of forwarded requests, by kind of route and outcome."""
 
     def __init__(self, state: State) -> None:
-        """Show ``state`` beside the counters, as gauges and as a dump."""
+        """Initialize; ``state`` is exported as gauges beside the counters, and as a dump."""
         self._registry = Registry()
         self._state = state
         self._answers = Counter(
@@ -61,7 +61,7 @@
         await send({'type': 'http.response.body', 'body': body})
 
     def answered(self, kind: str, status: int, code: str, took_s: float) -> None:
-        """Count the head of an answer; ``code`` is '' for a server's own."""
+        """Count the head of an answer; ``code`` is '' for the answer of a server."""
         self._answers.inc({'kind': kind, 'status': str(status), 'code': code})
         self._first.observe({'kind': kind, 'status': str(status)}, took_s)
 
--- a/packages/callers/src/endivesaddle/callers/forward_requests.py
+++ b/packages/callers/src/endivesaddle/callers/forward_requests.py
@@ -1,4 +1,4 @@
-"""Read a forwarded request: its route, account, bounds and headers."""
+"""Reading of a forwarded request: its route, account, limits and headers."""
 
 from http import HTTPStatus
 from typing import NamedTuple
@@ -11,19 +11,19 @@
 from endivesaddle.fleet.routes.header_names import HOP_BY_HOP, LENGTH, HeaderNames
 
 MAX_PARTS = 64
-"""Parts of a prompt that are looked at; more would cost time and tell nothing."""
+"""Prompt parts that are read; more would take time and add no information."""
 _MS = 1000
 
 
 class Head(NamedTuple):
-    """Whom and where a request is for, before its body is read."""
+    """The route and account of a request, known before its body is read."""
 
     route: Route
     account: RouteAccount | None
 
 
 def read_head(exchange: Exchange, declarations: DeclarationIndex) -> Head | Invalid:
-    """Find the route and the account of a request."""
+    """Return the route and account of a request, or the error."""
     route = declarations.find(exchange.headers.get('host', ''), exchange.raw_path)
     if route is None:
         return Invalid('route_not_found', 'no route matches', status=HTTPStatus.NOT_FOUND)
@@ -38,7 +38,7 @@
 def read_request(
     exchange: Exchange, head: Head, body: bytes, header_names: HeaderNames
 ) -> ForwardRequest | Invalid:
-    """Read the rest of a request whose body is there."""
+    """Return the whole request once its body has been read, or the error in a header."""
     names = exchange.headers
     try:
         prompt_tokens, max_tokens = _tokens(names.get(header_names.tokens, ''))
@@ -77,17 +77,17 @@
 
 
 def _tokens(text: str) -> tuple[int, int]:
-    """Read "prompt,output" tokens; (0, 0) where a request has none."""
+    """Parse "prompt,output" token counts; return (0, 0) for an empty header."""
     if not text:
         return 0, 0
     prompt, _, output = text.partition(',')
     counts = int(prompt), int(output)
     if min(counts) < 0:
-        raise ValueError('tokens are counted from 0')
+        raise ValueError('token counts must not be negative')
     return counts
 
 
 def _parts(text: str) -> tuple[tuple[str, int], ...]:
-    """Read "id:tokens" entries, separated by commas."""
+    """Parse "id:tokens" entries separated by commas."""
     entries = [entry.strip().partition(':') for entry in text.split(',') if entry.strip()]
     return tuple((part, int(tokens)) for part, _, tokens in entries[:MAX_PARTS])
--- a/packages/callers/src/endivesaddle/callers/limits.py
+++ b/packages/callers/src/endivesaddle/callers/limits.py
@@ -1,4 +1,4 @@
-"""What a caller may choose for its request: deadline, priority, repetition."""
+"""The options that a caller may set for its request: deadline, priority, repetition."""
 
 import math
 from http import HTTPStatus
@@ -21,7 +21,7 @@
 
 
 class Choices(NamedTuple):
-    """What the caller may choose, as chosen."""
+    """The options of a request."""
 
     may_repeat: bool
     priority: int
@@ -31,7 +31,7 @@
 def read_choices(
     exchange: Exchange, settings: CallersSettings, account: Account, rule: RepeatRule
 ) -> Choices | Invalid:
-    """Return what the caller chose, or what is wrong with it."""
+    """Return the options of a request, or the error in the first wrong one."""
     may_repeat = _may_repeat(exchange, rule)
     if isinstance(may_repeat, Invalid):
         return may_repeat
@@ -47,10 +47,10 @@
 def find_rule(
     rules: tuple[RepeatRule, ...], method: str, service: str, model: str, path: str
 ) -> RepeatRule:
-    """Return the first rule that matches.
+    """Return the first rule that matches, or the default.
 
-    Without one model requests may be repeated, and of the calls of plain
-    services only those that HTTP calls safe.
+    By default, model requests may be repeated; calls of services may be repeated if their
+    HTTP method is safe.
     """
     for rule in rules:
         if _matches(rule, method, service, model, path):
@@ -74,14 +74,14 @@
     wanted = _BOOLEANS.get(text.lower())
     if wanted is None:
         return Invalid('invalid_may_repeat', f'{MAY_REPEAT} is true or false', MAY_REPEAT)
-    # Forbidding a repetition is always safe; allowing one is the operators' to grant.
+    # A caller may always forbid repetition, but needs a rule of the operators to allow it.
     if wanted and not (rule.may_repeat or rule.caller_may_choose):
         return Invalid('may_not_choose', 'no rule lets callers allow a repetition here', MAY_REPEAT)
     return wanted
 
 
 def _priority(exchange: Exchange, account: Account) -> int | Invalid:
-    """Return the account's priority, or a less urgent (higher) one."""
+    """Return the requested priority, but none more urgent (lower) than the account's."""
     text = exchange.headers.get(PRIORITY)
     if text is None:
         return account.priority
@@ -95,8 +95,8 @@
 def _deadline(exchange: Exchange, settings: CallersSettings) -> float | Invalid:
     """Return the deadline in Unix seconds.
 
-    A time allowed in seconds becomes a deadline at once, for callers whose
-    clocks are off; the farthest allowed deadline is the bound for both.
+    A timeout in seconds is converted to a deadline on arrival, and is meant for callers whose
+    clocks are off. ``max_timeout_s`` bounds both.
     """
     now_unix_s = exchange.began_unix_s
     asked_unix_s = now_unix_s + settings.default_timeout_s
--- a/packages/callers/src/endivesaddle/callers/listening.py
+++ b/packages/callers/src/endivesaddle/callers/listening.py
@@ -1,4 +1,4 @@
-"""Listening sockets towards callers, whose connections are bounded in silence."""
+"""Listening sockets for callers, whose dead connections are detected by the kernel."""
 
 import socket
 
@@ -10,12 +10,12 @@
 
 
 def listen(address: str, settings: CallersSettings) -> socket.socket:
-    """Return a listening socket; its connections inherit the bounds on silence."""
+    """Return a listening socket; its connections inherit the keep-alive timeouts."""
     host, _, port = address.rpartition(':')
     listener = socket.create_server((host, int(port)), backlog=BACKLOG)
-    # A connection that something on the way has lost track of would keep its request, and
-    # its writer's buffer, for ever: no error ever comes.  The kernel ends it when sent data
-    # stays unacknowledged, or a quiet peer no longer answers keep-alive probes.
+    # A connection dropped without notice by a device on the path would keep its request and
+    # its write buffer forever, as no error is ever reported. The kernel closes it when sent
+    # data stays unacknowledged, or when an idle peer no longer answers keep-alive probes.
     unread_ms = int(settings.send_within_s * _MILLISECONDS)
     listener.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, unread_ms)
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
--- a/packages/callers/src/endivesaddle/callers/metrics.py
+++ b/packages/callers/src/endivesaddle/callers/metrics.py
@@ -1,4 +1,4 @@
-"""The metrics of the HTTP side, and how a router's counters are shown beside them."""
+"""The metrics of the HTTP interface, exported together with a router's counters."""
 
 import contextlib
 import re
@@ -11,13 +11,13 @@
 
 
 class Metrics:
-    """Count what callers asked for and what they got."""
+    """Counters of callers' requests and their answers."""
 
     def __init__(self) -> None:
-        """Start at nothing, in a registry of its own."""
+        """Initialize the counters in a separate registry."""
         self._registry = Registry()
         self._answers = self._counter('caller_answers_total', 'Answers to callers by HTTP status.')
-        self._refusals = self._counter('caller_refusals_total', 'Requests turned away, by code.')
+        self._refusals = self._counter('caller_refusals_total', 'Refused requests, by code.')
         self._ends = self._counter(
             'caller_ends_total', 'Ends of relayed answers: whole, broken, gone.'
         )
@@ -26,12 +26,12 @@
 
     @property
     def open_count(self) -> int:
-        """Requests of callers that are open now."""
+        """The number of callers' requests that are open."""
         return self._open_count
 
     @contextlib.contextmanager
     def open_request(self) -> Iterator[None]:
-        """Count a request as open."""
+        """Count a request as open during the block."""
         self._open_count += 1
         try:
             yield
@@ -43,7 +43,7 @@
         self._answers.inc({'status': str(status)})
 
     def refused(self, code: str) -> None:
-        """Count a request that was turned away."""
+        """Count a refused request."""
         self._refusals.inc({'code': code})
 
     def ended(self, end: str) -> None:
@@ -53,7 +53,7 @@
     def rendered(
         self, counters: dict[str, float], accepted: Sequence[str]
     ) -> tuple[bytes, dict[str, str]]:
-        """Return all metrics as text and its headers, with the router's own ``counters``."""
+        """Return all metrics and the router's ``counters`` as text, and the HTTP headers."""
         shown = {'caller_requests_open': float(self._open_count), **counters}
         for name, number in shown.items():
             self._gauge(name).set({}, number)
--- a/packages/callers/src/endivesaddle/callers/models.py
+++ b/packages/callers/src/endivesaddle/callers/models.py
@@ -1,4 +1,4 @@
-"""Check a model request and work out the most that it can cost."""
+"""Checks of model requests, and the upper bound of their cost."""
 
 from http import HTTPStatus
 from typing import Any, NamedTuple, TypeVar
@@ -22,8 +22,8 @@
 class ModelCall(NamedTuple):
     """A checked model request.
 
-    ``bound_tokens`` is prompt bound + choices x ``max_tokens``; ``body`` is what
-    the engine gets.
+    ``bound_tokens`` is prompt bound + choices x ``max_tokens``; ``body`` is the body sent to
+    the engine.
     """
 
     model: str
@@ -35,7 +35,7 @@
 
 
 class Prompt(NamedTuple):
-    """A prompt's worst case; ``prompts`` is how many one request has."""
+    """The bound of a prompt; ``prompts`` is the number of prompts in the request."""
 
     bound_tokens: int
     text: bytes
@@ -131,9 +131,9 @@
 
 
 def _engine_body(document: dict[str, Any], max_tokens: int) -> bytes:
-    # The engine gets the document as it was checked here, not the caller's bytes: with a
-    # field given twice the engine might read the other one and spend beyond the bound.
-    # It always gets one limit, under the name that all engines know.
+    # The engine gets the checked document and not the caller's bytes: of a field given twice,
+    # the engine might read the other value and exceed the bound. It always gets exactly one
+    # limit, under the name that all engines support.
     sent = {name: entry for name, entry in document.items() if name != _MAX_COMPLETION_TOKENS}
     sent[_MAX_TOKENS] = max_tokens
     return msgspec.json.encode(sent)
--- a/packages/callers/src/endivesaddle/callers/naming.py
+++ b/packages/callers/src/endivesaddle/callers/naming.py
@@ -1,4 +1,4 @@
-"""How a caller names its request, and what that tells of earlier attempts."""
+"""Request ids, and what they say about earlier attempts."""
 
 import re
 import uuid
@@ -14,10 +14,10 @@
 
 
 class Name(NamedTuple):
-    """A request's id; ``first_attempt`` is True only when that is certain.
+    """A request's id; ``first_attempt`` is True only if that is certain.
 
-    An id made here is known to nobody else, so its first attempt is certain.
-    With the caller's own id only its retry counter tells.
+    It is certain for an id generated here, as no other instance knows it. For an id of the
+    caller, it is certain only if the caller's retry counter is 0.
     """
 
     request_id: str
@@ -26,7 +26,7 @@
 
 
 def read_name(exchange: Exchange) -> Name | Invalid:
-    """Return the name of a request, or what is wrong with it."""
+    """Return the id of a request, or the error in its Idempotency-Key."""
     key = exchange.headers.get(IDEMPOTENCY_KEY)
     if key is None:
         return Name(str(uuid.uuid4()), named=False, first_attempt=True)
--- a/packages/callers/src/endivesaddle/callers/operating.py
+++ b/packages/callers/src/endivesaddle/callers/operating.py
@@ -1,4 +1,4 @@
-"""Routes of operators and of the platform: commands, state, health, metrics."""
+"""Routes for operators and the platform: commands, state, health, metrics."""
 
 from collections.abc import Mapping
 from http import HTTPStatus
@@ -30,7 +30,7 @@
 
 
 class CommandBody(TypedDict, total=False):
-    """A command line; ``change_id`` makes a change that is sent again count once."""
+    """A command line; a change sent again with the same ``change_id`` is applied once."""
 
     line: Required[Line]
     change_id: ChangeId
@@ -38,7 +38,7 @@
 
 @routes.add('POST /operators/v1/command')
 async def run_command(context: Context, exchange: Exchange) -> None:
-    """Run one command of the operators' language."""
+    """Run one command of the operators' command language."""
     if not exchange.bearer:
         return await _send_refusal(exchange, _no_operator())
     command = await _read_command(exchange, context.settings.max_command_bytes)
@@ -59,13 +59,13 @@
 
 @routes.add('GET /healthz')
 async def show_health(context: Context, exchange: Exchange) -> None:
-    """Tell that the process answers; true also while it leaves."""
+    """Confirm that the process is alive, also while it is leaving."""
     await exchange.reply_json(HTTPStatus.OK, {'status': 'ok'})
 
 
 @routes.add('GET /readyz')
 async def show_readiness(context: Context, exchange: Exchange) -> None:
-    """Tell the balancer whether to send requests here."""
+    """Tell the load balancer whether to send requests to this router."""
     ready, reason = context.state.ready()
     if context.state.leaving():
         ready, reason = False, 'leaving'
@@ -75,7 +75,7 @@
 
 @routes.add('GET /metrics')
 async def show_metrics(context: Context, exchange: Exchange) -> None:
-    """Show all metrics for Prometheus."""
+    """Send all metrics for Prometheus."""
     text, headers = context.metrics.rendered(
         context.state.counters(), [exchange.headers.get('accept', '')]
     )
@@ -86,7 +86,7 @@
 
 @routes.add('GET /dump')
 async def show_state(context: Context, exchange: Exchange) -> None:
-    """Show the state of this process to an operator."""
+    """Send the state of this process to an operator."""
     if context.keys.operator(exchange.bearer) is None:
         return await _send_refusal(exchange, _no_operator())
     await exchange.reply_json(HTTPStatus.OK, context.state.dump())
@@ -103,7 +103,7 @@
 
 
 def _error(status: int, document: dict[str, Any]) -> dict[str, Any]:
-    """Return the error object of a failed command, beside what its reply says in full."""
+    """Return the error object of a failed command, which is added to its full reply."""
     message = document.get('error') or '\n'.join(document.get('messages', ()))
     failed = Invalid(_CODES.get(status, _FAILED), message, status=status)
     refusal = refuse(failed, no_earlier_attempt=status != HTTPStatus.GATEWAY_TIMEOUT)
--- a/packages/callers/src/endivesaddle/callers/refusals.py
+++ b/packages/callers/src/endivesaddle/callers/refusals.py
@@ -1,6 +1,6 @@
-"""Refusals by the HTTP side itself, and how every refusal is written.
+"""Refusals by the HTTP interface itself, and the format of all refusals.
 
-The codes are listed in docs/REFUSALS.md and stay as they are.
+The codes are listed in docs/REFUSALS.md and must not change.
 """
 
 from collections.abc import Mapping
@@ -14,7 +14,7 @@
 
 
 class Invalid(NamedTuple):
-    """What is wrong with a request; ``param`` names the field or header."""
+    """The error in a request; ``param`` names the field or header."""
 
     code: str
     reason: str
@@ -41,9 +41,9 @@
 def refuse(invalid: Invalid, no_earlier_attempt: bool) -> Refusal:
     """Turn bad input into a refusal of the request as a whole.
 
-    This attempt was handed to nobody.  ``no_earlier_attempt`` tells that there can't be an
-    earlier attempt of the same request, so that "not run" is the whole truth;
-    else an earlier one may have run, and this side can't know.
+    This attempt was not passed on to any instance. ``no_earlier_attempt`` is set if the same
+    request can't have an earlier attempt, so that "not run" is certain; otherwise an earlier
+    attempt may have run, and this router can't know that.
     """
     return Refusal(
         code=invalid.code,
@@ -55,12 +55,12 @@
 
 
 def error_body(refusal: Refusal, request_id: str = '', param: str = '') -> bytes:
-    """Return the OpenAI-shaped JSON body of a refusal."""
+    """Return the JSON body of a refusal in OpenAI's format."""
     return msgspec.json.encode(error_document(refusal, request_id, param))
 
 
 def error_document(refusal: Refusal, request_id: str = '', param: str = '') -> dict[str, Any]:
-    """Return the OpenAI-shaped document of a refusal."""
+    """Return the document of a refusal in OpenAI's format."""
     error: dict[str, Any] = {
         'message': refusal.reason,
         'type': _type(refusal.status),
--- a/packages/callers/src/endivesaddle/callers/relay.py
+++ b/packages/callers/src/endivesaddle/callers/relay.py
@@ -1,7 +1,7 @@
-"""Pass an answer on to its caller, chunk by chunk, and tell the truth when it breaks.
+"""Relaying of an answer to its caller, chunk by chunk, with an error if it breaks off.
 
-Nothing piles up between the two ends: the next chunk is asked for when the
-caller's connection has taken the last one.
+Nothing is buffered in between: the next chunk is read when the caller's connection has
+accepted the last one.
 """
 
 import enum
@@ -29,23 +29,23 @@
 
 
 class End(enum.Enum):
-    """How relaying an answer to a caller that stayed ended."""
+    """How the relaying of an answer ended, for a caller that stayed connected."""
 
     WHOLE = 'whole'
     BROKEN = 'broken'
 
 
 class Relay:
-    """One answer on its way to one caller."""
+    """Relays one answer to one caller."""
 
     def __init__(self, exchange: Exchange, request_id: str, settings: CallersSettings) -> None:
-        """Relay to the caller of ``exchange``."""
+        """Initialize for the caller of ``exchange``."""
         self._exchange = exchange
         self._request_id = request_id
         self._settings = settings
 
     async def run(self, answer: Answer) -> End:
-        """Relay a whole answer; ``chunks`` is closed however it ends."""
+        """Relay an answer to its end; ``chunks`` is closed in all cases."""
         headers = _forwarded_headers(answer, self._request_id)
         streamed = dict(headers).get('content-type', '').startswith(_EVENT_STREAM)
         try:
@@ -56,12 +56,12 @@
             await _close(answer.chunks)
 
     async def _stream_events(self, answer: Answer, headers: list[tuple[str, str]]) -> End:
-        """Relay server-sent events, whole ones only.
+        """Relay server-sent events, complete ones only.
 
-        A caller that got half an event and then the one that tells of the break
-        would read them as one and understand neither; so the half is held back.
-        The head goes out with the first event: the chunks have then begun, and a
-        caller that is gone by now has them closed and not forgotten.
+        A caller that got half an event and then the error event would read the two as one
+        event and could parse neither, so an incomplete event is held back. The head is sent
+        with the first event: the iteration of the chunks has then begun, so that they are
+        closed and not left open if the caller has disconnected by then.
         """
         held = b''
         try:
@@ -84,14 +84,14 @@
         if not self._exchange.started:
             return await self._break_held(refusal)
         self._log_broken(refusal)
-        # Without "[DONE]": a client that overlooks the error still sees no good end.
+        # "[DONE]" is left out, so that a client that ignores the error gets no valid end.
         await self._exchange.finish(b'data: %b\n\n' % error_body(refusal, self._request_id))
         return End.BROKEN
 
     async def _hold(self, answer: Answer, headers: list[tuple[str, str]]) -> End:
-        """Relay an answer that isn't streamed: held back until whole, so that a break is told.
+        """Relay an unstreamed answer, held back until complete so that an error can be sent.
 
-        What is too long to be held is passed on as it comes.
+        An answer that is too long to be held back is passed on as it arrives.
         """
         held = bytearray()
         chunks = aiter(answer.chunks)
@@ -124,8 +124,8 @@
             async for chunk in chunks:
                 await self._exchange.write(chunk)
         except AnswerInterrupted as broken:
-            # The status is gone already.  Left without its last chunk, the connection is
-            # closed by the server, and every HTTP client reports a cut answer.
+            # The status has been sent already. Without the last chunk, the server closes the
+            # connection, and every HTTP client reports a truncated answer.
             self._log_broken(broken.refusal)
             return End.BROKEN
         await self._exchange.finish()
@@ -141,9 +141,9 @@
 
 
 def split_events(data: bytes) -> tuple[bytes, bytes]:
-    """Split into whole server-sent events and the start of one.
+    """Split data into complete server-sent events and the start of the next one.
 
-    What is longer than any sensible event is passed on as it is.
+    Incomplete data that is longer than any reasonable event is passed on unsplit.
     """
     end = 0
     for mark in _EVENT_ENDS:
@@ -156,13 +156,13 @@
 
 
 def without_length(headers: list[tuple[str, str]]) -> list[tuple[str, str]]:
-    """Leave out the length: a stream that breaks ends otherwise than announced."""
+    """Return the headers without the length, which a stream that breaks off can't keep."""
     return [pair for pair in headers if pair[0] != 'content-length']
 
 
 async def _close(chunks: AsyncIterator[bytes]) -> None:
-    # Closed at once and not by the garbage collector: only so does the front learn in
-    # time that the caller is gone, and can cancel a run that nobody waits for.
+    # Closed explicitly and not by the garbage collector, so that the front learns in time
+    # that the caller has disconnected and can cancel a run that no call needs.
     close = getattr(chunks, 'aclose', None)
     if close is not None:
         with anyio.move_on_after(_CLOSE_WITHIN_S, shield=True):
@@ -170,10 +170,10 @@
 
 
 def fault(request_id: str) -> Refusal:
-    """Return what a caller is told when the router itself failed."""
+    """Return the refusal for a failure of the router itself."""
     return Refusal(
         'internal_error',
-        f'the router failed; what became of the request can be asked under {request_id}',
+        f'the router failed; the outcome of the request can be looked up under {request_id}',
         RUN_UNKNOWN,
         500,
     )
--- a/packages/callers/src/endivesaddle/callers/requests.py
+++ b/packages/callers/src/endivesaddle/callers/requests.py
@@ -1,4 +1,4 @@
-"""Make a checked ``CallerRequest`` from an HTTP exchange."""
+"""Conversion of an HTTP exchange into a checked ``CallerRequest``."""
 
 import re
 from collections.abc import Callable
@@ -50,7 +50,7 @@
 
 
 class Call(NamedTuple):
-    """What is to be run; ``rule_path`` is what the rules of repetition look at."""
+    """The call to run; ``rule_path`` is the path that repetition rules are matched against."""
 
     kind: str
     path: str
@@ -72,7 +72,7 @@
     configuration: Configuration,
     settings: CallersSettings,
 ) -> CallerRequest | Invalid:
-    """Return the request, or what is wrong with it."""
+    """Return the request, or the error in it."""
     body = await exchange.body(settings.max_body_bytes)
     if isinstance(body, Invalid):
         return body
@@ -95,7 +95,7 @@
 def read_call(
     exchange: Exchange, body: bytes, configuration: Configuration, settings: CallersSettings
 ) -> Call | Invalid:
-    """Return what is to be run, or what is wrong with it."""
+    """Return the call to run, or the error in it."""
     if exchange.path.startswith(SERVICES):
         return _service_call(exchange, body, configuration)
     call = _bodies.find(exchange.path)(body, configuration.models, settings)
@@ -122,8 +122,9 @@
         return Invalid(
             'service_not_found', f'there is no service {name!r}', '', HTTPStatus.NOT_FOUND
         )
-    # Rules of repetition go by the path.  A server that resolves dots would run another
-    # path than the one whose rule was found, and so twice what may run only once.
+    # Repetition rules depend on the path. A server that resolves dot segments would run
+    # another path than the one whose rule was found, and so might run a non-repeatable
+    # request twice.
     rule_path = exchange.path.removeprefix(SERVICES[:-1]).removeprefix(f'/{name}') or '/'
     if _AMBIGUOUS_PATH.search(rule_path):
         return Invalid('invalid_path', 'the path has empty or dot segments or a backslash')
--- a/packages/callers/src/endivesaddle/callers/server.py
+++ b/packages/callers/src/endivesaddle/callers/server.py
@@ -1,4 +1,4 @@
-"""Serve the application with hypercorn until it is told to stop."""
+"""Serving of the application with hypercorn until a stop is requested."""
 
 import asyncio
 import socket
@@ -26,9 +26,9 @@
 ) -> None:
     """Serve ``app`` at "ip:port" until ``shutdown`` is set and the last request has ended.
 
-    Reports the bound address ("ip:port") when it takes connections.  After
-    ``shutdown`` it takes no new connection, closes idle ones and waits for the
-    requests in flight, ``stop_within_s`` at the most.
+    Reports the bound address ("ip:port") once it accepts connections. After ``shutdown`` it
+    accepts no new connections, closes idle ones and waits for the requests in flight, for at
+    most ``stop_within_s``.
     """
     listener = listen(address, app.settings)
     host, port = listener.getsockname()[:2]
@@ -40,7 +40,7 @@
     try:
         await serve_asgi(application, config, shutdown_trigger=shutdown.wait)
     except asyncio.InvalidStateError:
-        # hypercorn's own clean-up fails when it is cancelled; the cancellation is what counts.
+        # hypercorn's clean-up fails when it is cancelled; only the cancellation matters here.
         await checkpoint()
         raise
     if app.cut_count:
--- a/packages/callers/src/endivesaddle/callers/serving.py
+++ b/packages/callers/src/endivesaddle/callers/serving.py
@@ -1,4 +1,4 @@
-"""Routes of callers: model requests and plain services."""
+"""Routes for callers: model requests and services."""
 
 import math
 from http import HTTPStatus
@@ -18,13 +18,13 @@
 
 _LEAVING = Invalid(
     'leaving',
-    'this router is leaving; another one takes the request',
+    'this router is leaving; another one will accept the request',
     status=HTTPStatus.SERVICE_UNAVAILABLE,
     retry_after_s=1,
 )
 _FULL = Invalid(
     'router_full',
-    'this router has as many requests open as it may',
+    'this router has reached its maximum number of open requests',
     status=HTTPStatus.SERVICE_UNAVAILABLE,
     retry_after_s=1,
 )
@@ -40,7 +40,7 @@
 @routes.add(f'POST {COMPLETIONS}')
 @routes.add(f'* {SERVICES}*')
 async def serve_request(context: Context, exchange: Exchange) -> None:
-    """Check a request, have it run and relay its answer."""
+    """Check a request, run it and relay its answer."""
     name = read_name(exchange)
     if isinstance(name, Invalid):
         return await _refuse(context, exchange, Name('', named=True, first_attempt=False), name)
@@ -53,7 +53,7 @@
 
 @routes.add('GET /v1/models')
 async def list_models(context: Context, exchange: Exchange) -> None:
-    """Return the models, in OpenAI's shape."""
+    """Send the list of models in OpenAI's format."""
     if context.keys.account(exchange.bearer) is None:
         return await _refuse(context, exchange, Name('', named=False, first_attempt=True), _NO_KEY)
     models = [
@@ -71,7 +71,7 @@
 
 
 def _admitted(context: Context, exchange: Exchange) -> Account | Invalid:
-    """Return the caller's account, if a request can be taken now."""
+    """Return the caller's account, or why a request can't be accepted now."""
     account = context.keys.account(exchange.bearer)
     if account is None:
         return _NO_KEY
@@ -85,8 +85,8 @@
 async def _run(context: Context, exchange: Exchange, request: CallerRequest) -> None:
     """Run a request for as long as its caller stays connected.
 
-    When the caller closes its connection, what runs here is cancelled: the front
-    where it waits, or the answer's chunks, whose closing tells the front.
+    When the caller disconnects, the call to the front is cancelled, or the chunks of the
+    answer are closed, which notifies the front.
     """
     async with anyio.create_task_group() as group:
         group.start_soon(_watch, context, exchange, request, group.cancel_scope)
@@ -98,8 +98,8 @@
     context: Context, exchange: Exchange, request: CallerRequest, scope: anyio.CancelScope
 ) -> None:
     await exchange.wait_disconnected()
-    # The server says so too when the answer has ended.  To cancel then would hit the
-    # server's own last send, and leave the connection half done.
+    # The HTTP server also reports a disconnect when the answer has ended. Cancelling then
+    # would interrupt the server's last send and leave the connection unusable.
     if exchange.ending and not exchange.stalled:
         return
     (events.STALLED if exchange.stalled else events.GONE).log(request=request.key)
@@ -137,7 +137,7 @@
     request_id: str,
     param: str = '',
 ) -> None:
-    """Tell the caller that its request was turned away, and what is known of it."""
+    """Send a refusal to the caller, with what is known of its request."""
     events.REFUSED.log(request_id=request_id, code=refusal.code, not_run=refusal.not_run)
     context.metrics.refused(refusal.code)
     context.metrics.answered(refusal.status)
--- a/packages/callers/src/endivesaddle/callers/settings.py
+++ b/packages/callers/src/endivesaddle/callers/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the HTTP side towards callers and operators."""
+"""Settings of the HTTP interface for callers and operators."""
 
 import dataclasses
 
@@ -12,17 +12,17 @@
 
 @dataclasses.dataclass(frozen=True)
 class CallersSettings:
-    """Bounds on what callers may send, and on how long they may take."""
+    """Limits on the size and time of requests, answers and connections."""
 
     max_body_bytes: int = settings.option(
         'max-body-bytes',
-        'largest request body, in bytes',
+        'maximum size of a request body, in bytes',
         BODY_BYTES,
         settings.integer(1024, 64 * BODY_BYTES),
     )
     max_command_bytes: int = settings.option(
         'max-command-bytes',
-        "largest operators' command with its declarations, in bytes",
+        "maximum size of an operator's command with its declarations, in bytes",
         COMMAND_BYTES,
         settings.integer(1024, 8 * COMMAND_BYTES),
     )
@@ -34,7 +34,7 @@
     )
     max_in_flight: int = settings.option(
         'max-in-flight',
-        'requests that one router has open at the most',
+        'maximum number of open requests of one router',
         4096,
         settings.integer(1, MANY),
     )
@@ -49,37 +49,37 @@
     )
     default_timeout_s: float = settings.option(
         'default-timeout-s',
-        'seconds after which a request that names no deadline ends',
+        'timeout of a request without a deadline, in seconds',
         120.0,
         settings.number(1, 86400),
     )
     max_timeout_s: float = settings.option(
         'max-timeout-s',
-        'seconds that a deadline may lie ahead at the most',
+        'maximum time until the deadline of a request, in seconds',
         900.0,
         settings.number(1, 86400),
     )
     send_within_s: float = settings.option(
         'send-within-s',
-        'seconds that a caller may leave an answer unread before it counts as gone',
+        'seconds after which a caller that leaves its answer unread counts as disconnected',
         60.0,
         settings.number(1, 3600),
     )
     max_held_answer_bytes: int = settings.option(
         'max-held-answer-bytes',
-        'bytes of an unstreamed answer that are held back until it is whole',
+        'size up to which an unstreamed answer is held back until it is complete, in bytes',
         ANSWER_BYTES,
         settings.integer(1024, 64 * ANSWER_BYTES),
     )
     keep_alive_s: float = settings.option(
         'http-keep-alive-s',
-        'seconds that an idle HTTP connection is kept',
+        'seconds for which an idle HTTP connection is kept',
         75.0,
         settings.number(1, 3600),
     )
     requests_a_connection: int = settings.option(
         'requests-a-connection',
-        'requests after which a connection is closed, so that load spreads anew',
+        'requests after which a connection is closed, so that load is rebalanced',
         10_000,
         settings.integer(1, MANY),
     )
