--- a/features/callers_refusals.feature
+++ b/features/callers_refusals.feature
@@ -1,7 +1,7 @@
 Feature: The page of refusals
-  Clients are told that codes are stable and listed; one that is not listed leaves
-  them without a way to tell what happened.
+  The documentation promises clients that refusal codes are stable and listed; a client can't
+  interpret a code that is not listed.
 
-  Scenario: The page of refusals lists every code that can be answered
-    When the codes of all refusals are read from the code
-    Then the refusals page lists just these codes
+  Scenario: The page of refusals lists every code that can be sent
+    When the codes of all refusals are collected from the source code
+    Then the refusals page lists exactly these codes
--- a/features/steps/callers_refusals_steps.py
+++ b/features/steps/callers_refusals_steps.py
@@ -7,15 +7,15 @@
 from subjects.callers_refusals import RefusalsPage
 
 
-@when('the codes of all refusals are read from the code')
+@when('the codes of all refusals are collected from the source code')
 def read(context: Any) -> None:
-    """Read the code and the page."""
+    """Collect the codes from the source code and the page."""
     context.subject = RefusalsPage()
 
 
-@then('the refusals page lists just these codes')
+@then('the refusals page lists exactly these codes')
 def same(context: Any) -> None:
-    """Compare the two."""
+    """Compare the codes of both."""
     subject = context.subject
     assert len(subject.coded) > 10, subject.coded
     assert subject.listed == subject.coded, subject.listed ^ subject.coded
--- a/features/steps/callers_sockets_steps.py
+++ b/features/steps/callers_sockets_steps.py
@@ -7,40 +7,40 @@
 from subjects import callers_sockets
 
 
-@when('the HTTP server is told to stop while a stream is open')
+@when('the HTTP server is stopped while a stream is open')
 def stop_gracefully(context: Any) -> None:
-    """Stop with time to spare."""
+    """Stop with a long time limit."""
     context.subject = callers_sockets.CallersSockets()
-    context.subject.run(callers_sockets.stop_then_go_on, 600)
+    context.subject.run(callers_sockets.stop_then_finish, 600)
 
 
-@when('the HTTP server is told to stop and the stream outlives its time')
+@when('the HTTP server is stopped and the stream exceeds the time limit')
 def stop_late(context: Any) -> None:
-    """Stop with no time to spare."""
+    """Stop with a short time limit."""
     context.subject = callers_sockets.CallersSockets()
     context.subject.run(callers_sockets.stop_and_hold, 0.05)
 
 
 @when('the caller of an open stream closes its connection')
 def close_connection(context: Any) -> None:
-    """Leave in the middle."""
-    context.subject = callers_sockets.LeavingCaller()
-    context.subject.run(callers_sockets.leave, 600)
+    """Disconnect during the stream."""
+    context.subject = callers_sockets.DisconnectingCaller()
+    context.subject.run(callers_sockets.disconnect, 600)
 
 
 @when('a caller sends {count:d} chats over one connection and the HTTP server stops')
 def send_many(context: Any, count: int) -> None:
-    """Send one after the other."""
+    """Send the chats one after the other."""
     context.subject = callers_sockets.BusyCaller(count)
     context.subject.run(callers_sockets.stop_and_hold, 600)
 
 
-@then('all {count:d} chats ended whole, none gone and none cut')
+@then('all {count:d} chats are complete, none disconnected and none cut off')
 def all_whole(context: Any, count: int) -> None:
-    """Look at the answers and at what the router counted."""
+    """Check the answers and the router's counters."""
     subject = context.subject
-    assert len(subject.got) == count
-    assert set(subject.got) == {callers_sockets.FIRST + callers_sockets.LAST}, subject.got
+    assert len(subject.received) == count
+    assert set(subject.received) == {callers_sockets.FIRST + callers_sockets.LAST}, subject.received
     assert f'caller_ends_total{{end="whole"}} {count}\n' in subject.metrics, subject.metrics
     assert 'end="gone"' not in subject.metrics, subject.metrics
     assert subject.ended and not subject.cut_count, subject.cut_count
@@ -48,43 +48,43 @@
 
 @when('a caller sends {parts:d} parts of a body that is too large after {fitting:d}')
 def send_parts(context: Any, parts: int, fitting: int) -> None:
-    """Send all parts at once, and none of the end."""
+    """Send all parts at once, without the end of the body."""
     context.subject = callers_sockets.LongBodyCaller(parts, fitting)
     context.subject.run(callers_sockets.stop_and_hold, 600)
 
 
-@then('the body is refused as too large, and the HTTP server ends with nothing cut')
+@then('the body is refused as too large, and the HTTP server ends without cutting off a request')
 def refused_whole(context: Any) -> None:
-    """Look at the answer and at what the stop left."""
+    """Check the answer, and that the stop cut off no request."""
     subject = context.subject
-    answer = b''.join(subject.got)
+    answer = b''.join(subject.received)
     assert answer.startswith(b'HTTP/1.1 413 ') and b'"body_too_large"' in answer, answer
     assert subject.ended and not subject.cut_count, subject.cut_count
 
 
-@then('the HTTP server takes no new connection')
+@then('the HTTP server accepts no new connection')
 def refused(context: Any) -> None:
-    """Look at the attempt."""
+    """Check that the connection attempt was refused."""
     assert context.subject.refused
 
 
-@then('the stream ends whole and then the HTTP server ends')
+@then('the stream is completed and then the HTTP server ends')
 def whole(context: Any) -> None:
-    """Compare the bytes."""
+    """Check the bytes received, and that nothing was cut off."""
     subject = context.subject
-    assert subject.got == [callers_sockets.FIRST, callers_sockets.LAST], subject.got
+    assert subject.received == [callers_sockets.FIRST, callers_sockets.LAST], subject.received
     assert subject.ended and not subject.was_cut and not subject.cut_count
 
 
-@then('the stream is cut and the HTTP server ends by itself')
+@then('the stream is cut off and the HTTP server returns')
 def cut(context: Any) -> None:
-    """Look at both ends."""
+    """Check that caller and server both report the cut."""
     subject = context.subject
-    assert subject.got == [callers_sockets.FIRST, callers_sockets.CUT], subject.got
+    assert subject.received == [callers_sockets.FIRST, callers_sockets.CUT], subject.received
     assert subject.ended and subject.was_cut and subject.cut_count == 1
 
 
-@then('its answer is closed on the socket side')
+@then('its answer is closed in the front')
 def closed(context: Any) -> None:
-    """Look at the front."""
+    """Check that the front's answer was closed."""
     assert context.subject.was_cut
--- a/features/steps/callers_steps.py
+++ b/features/steps/callers_steps.py
@@ -31,9 +31,9 @@
     return b'data: {"n":%d}\n\n' % number
 
 
-@given('the HTTP side of a router with one account, one model and one service')
+@given('the HTTP interface of a router with one account, one model and one service')
 def make_side(context: Any) -> None:
-    """Play the neighbours."""
+    """Create the application with fakes around it."""
     context.side = callers.CallersSide()
 
 
@@ -43,9 +43,9 @@
     context.side.headers[header] = text
 
 
-@given("the account's key is taken out with the next revision")
+@given("the account's key is removed in the next revision")
 def take_key_out(context: Any) -> None:
-    """Use the key once, then put the next revision in force."""
+    """Use the key once, then apply the next revision."""
     side = context.side
     side.chat()
     assert side.caller.status == 200
@@ -55,35 +55,35 @@
     )
 
 
-@given('the router leaves')
+@given('the router is leaving')
 def leave(context: Any) -> None:
-    """Tell the router to stop."""
+    """Mark the router as leaving."""
     context.side.parts.is_leaving = True
 
 
 @given('the front answers with {count:d} events')
 def answer_events(context: Any, count: int) -> None:
-    """Stream whole events."""
+    """Stream complete events."""
     context.side.front.headers = callers.SSE
     context.side.front.pieces = [event(number) for number in range(count)]
 
 
-@given('the front answers with one event and a half, then breaks')
+@given('the front answers with one and a half events, then breaks off')
 def answer_half_event(context: Any) -> None:
-    """Break in the middle of an event."""
+    """Break off in the middle of an event."""
     context.side.front.headers = callers.SSE
     context.side.front.pieces = [b'data: {"n":0}\n\ndata: {"n', callers.BREAK]
 
 
-@given('the front answers with half a document, then breaks')
+@given('the front answers with half a document, then breaks off')
 def answer_half_document(context: Any) -> None:
-    """Break in the middle of an answer that isn't streamed."""
+    """Break off in the middle of an unstreamed answer."""
     context.side.front.pieces = [b'{"half":', callers.BREAK]
 
 
-@given('the front answers with a fault')
+@given('the front raises an unexpected exception')
 def answer_fault(context: Any) -> None:
-    """Raise what nobody expects."""
+    """Raise an exception that isn't handled."""
     context.side.front.pieces = [callers.FAULT]
 
 
@@ -97,12 +97,12 @@
 @given('the front never answers')
 def never_answer(context: Any) -> None:
     """Keep the request waiting."""
-    context.side.front.hangs = True
+    context.side.front.never_answers = True
 
 
-@given('the front refuses as over budget')
+@given('the front refuses because the budget is exhausted')
 def refuse(context: Any) -> None:
-    """Refuse with advice."""
+    """Refuse with a time to retry after."""
     context.side.front.refusal = Refusal('budget_exhausted', 'over budget', NOT_RUN, 429, 2.2)
 
 
@@ -149,19 +149,19 @@
 
 @when('a caller reads nothing for 2 s and then everything')
 def read_late(context: Any) -> None:
-    """Be a slow caller."""
+    """Read slowly."""
     context.side.send_and(callers.read_nothing)
 
 
-@when('a streaming caller leaves after a second')
+@when('a streaming caller disconnects after a second')
 def leave_early(context: Any) -> None:
     """Close the connection."""
-    context.side.send_and(callers.leave_after_a_second)
+    context.side.send_and(callers.disconnect_after_a_second)
 
 
 @when('a streaming caller never reads')
 def never_read(context: Any) -> None:
-    """Stall for ever."""
+    """Never read the answer."""
     context.side.send_and(callers.never_read)
 
 
@@ -175,47 +175,47 @@
 
 @then('the caller got status 200 with a request id and attempt 3')
 def answered(context: Any) -> None:
-    """Look at the head of the answer."""
+    """Check the head of the answer."""
     caller = context.side.caller
     assert caller.status == 200 and caller.finished, caller.parts
     assert caller.headers['x-request-id'] == context.side.front.requests[0].request_id
     assert caller.headers['x-attempt'] == '3'
 
 
-@then('the front was asked for {bound:d} tokens at the most')
+@then('the front got a request bounded by {bound:d} tokens')
 def bounded(context: Any, bound: int) -> None:
-    """Compare the bound."""
+    """Check the bound of the request."""
     assert context.side.front.requests[0].bound_tokens == bound, context.side.front.requests
 
 
 @then('the caller was refused with status {status:d} and code {code}')
 def refused(context: Any, status: int, code: str) -> None:
-    """Look at the error."""
+    """Check status and code of the error."""
     caller = context.side.caller
     assert (caller.status, caller.error['code']) == (status, code), caller.parts
     assert caller.finished
 
 
-@then('the refusal says not_run {not_run}')
-def told_not_run(context: Any, not_run: str) -> None:
-    """Look at what the caller is told."""
+@then('the refusal has not_run {not_run}')
+def has_not_run(context: Any, not_run: str) -> None:
+    """Check ``not_run`` in the error."""
     expected = {'true': True, 'false': False}.get(not_run, not_run)
     assert context.side.caller.error['not_run'] == expected, context.side.caller.error
 
 
 @then('the caller may retry after {seconds:d} s')
 def retry_after(context: Any, seconds: int) -> None:
-    """Look at the advice."""
+    """Check the Retry-After header."""
     assert context.side.caller.headers['retry-after'] == str(seconds)
 
 
-@then('the front was asked nothing')
+@then('the front got no request')
 def nothing_asked(context: Any) -> None:
-    """Nothing may be reserved."""
+    """Check that no request reached the front, so that nothing is reserved."""
     assert not context.side.front.requests, context.side.front.requests
 
 
-@then("the front was asked for max_tokens 10 and the engine's body says 10 once")
+@then("the front got max_tokens 10 and the engine's body contains 10 once")
 def same_limit(context: Any) -> None:
     """Compare the two."""
     request = context.side.front.requests[0]
@@ -224,16 +224,16 @@
     assert msgspec.json.decode(request.body)['max_tokens'] == 10
 
 
-@then('the health check says alive and not ready')
+@then('the health checks report alive and not ready')
 def not_ready(context: Any) -> None:
-    """Ask both."""
+    """Query both health checks."""
     context.side.send('GET', '/healthz')
     assert context.side.caller.status == 200
     context.side.send('GET', '/readyz')
     assert context.side.caller.status == 503
 
 
-@then('the front was asked for {key} as a {kind}')
+@then('the front got the request {key} as a {kind}')
 def asked_as(context: Any, key: str, kind: str) -> None:
     """Look at the request."""
     request = context.side.front.requests[0]
@@ -241,9 +241,9 @@
     assert request.first_attempt == (kind == 'first attempt')
 
 
-@then('the service call came to {outcome}')
+@then('the result of the service call is {outcome}')
 def service_outcome(context: Any, outcome: str) -> None:
-    """Look at the request or its refusal."""
+    """Check the request or its refusal."""
     side = context.side
     if outcome.endswith('repeatable'):
         assert side.front.requests[0].may_repeat == (outcome == 'repeatable'), side.caller.parts
@@ -252,7 +252,7 @@
         assert not side.front.requests
 
 
-@then('the front was asked for the path {path} without an authorization header')
+@then('the front got the path {path} without an authorization header')
 def passed_on(context: Any, path: str) -> None:
     """Look at the request."""
     request = context.side.front.requests[0]
@@ -260,19 +260,19 @@
     assert 'authorization' not in dict(request.headers), request.headers
 
 
-@then('at most {count:d} events were taken while the caller read nothing')
+@then('at most {count:d} events were requested while the caller read nothing')
 def taken_unread(context: Any, count: int) -> None:
-    """Compare what was asked of the front."""
-    assert context.side.taken_while_unread <= count, context.side.taken_while_unread
+    """Check how many pieces were requested from the front."""
+    assert context.side.requested_while_unread <= count, context.side.requested_while_unread
 
 
-@then('at most {count:d} events were taken in all')
-def taken(context: Any, count: int) -> None:
-    """Compare what was asked of the front."""
-    assert context.side.front.taken <= count, context.side.front.taken
+@then('at most {count:d} events were requested in total')
+def requested(context: Any, count: int) -> None:
+    """Check how many pieces were requested from the front."""
+    assert context.side.front.requested <= count, context.side.front.requested
 
 
-@then('the caller got all {count:d} events and a good end')
+@then('the caller got all {count:d} events and a valid end')
 def all_events(context: Any, count: int) -> None:
     """Compare the bytes."""
     expected = b''.join(event(number) for number in range(count))
@@ -292,26 +292,26 @@
 
 @then('the answer was closed')
 def closed(context: Any) -> None:
-    """Look at the generator."""
+    """Check that the generator of the answer was closed."""
     assert context.side.front.closed
 
 
 @then("the front's work was cancelled")
 def cancelled(context: Any) -> None:
-    """Look at the front."""
+    """Check that the call to the front was cancelled."""
     assert context.side.front.cancelled
 
 
-@then("the operators' language got it with the token")
+@then('the command reached the operator service with its token')
 def command_came(context: Any) -> None:
-    """Look at the command."""
+    """Check the command and its token."""
     assert context.side.parts.commands == [(callers.TOKEN, 'accounts', 'c-1')]
     assert context.side.caller.status == 200
 
 
-@then('the operator sees the state of {instance}')
+@then('the operator gets the state of {instance}')
 def state_seen(context: Any, instance: str) -> None:
-    """Ask for the dump, with and without the token."""
+    """Request the dump, with the operator's token and without it."""
     context.side.send('GET', '/dump')
     assert msgspec.json.decode(b''.join(context.side.caller.parts)) == {'instance': instance}
     context.side.headers['authorization'] = f'Bearer {callers.KEY}'
@@ -319,9 +319,9 @@
     assert context.side.caller.status == 401
 
 
-@then("the metrics show the router's counters")
+@then("the metrics contain the router's counters")
 def metrics_shown(context: Any) -> None:
-    """Ask for the metrics."""
+    """Request the metrics."""
     context.side.send('GET', '/metrics')
     text = b''.join(context.side.caller.parts)
     assert b'endivesaddle_open_claims 4' in text, text
--- a/features/steps/forward_http_steps.py
+++ b/features/steps/forward_http_steps.py
@@ -5,18 +5,18 @@
 
 from behave import given, then, when
 
-from subjects.forward_http import END, ForwardHttp, leave, stop
+from subjects.forward_http import END, ForwardHttp, disconnect, stop
 
 
 @given('the listener of a forwarding router')
 def start(context: Any) -> None:
-    """Set it up."""
+    """Create the subject."""
     context.http = ForwardHttp()
 
 
 @when('a caller sends: {text}')
 def send(context: Any, text: str) -> None:
-    """Send it; escapes are written as in Python."""
+    """Send bytes; escapes are written as in Python."""
     context.http.play(
         partial(ForwardHttp.send, data=text.encode().decode('unicode_escape').encode())
     )
@@ -24,68 +24,68 @@
 
 @when('a caller sends a head of {size:d} bytes')
 def send_head(context: Any, size: int) -> None:
-    """Send it."""
+    """Send a request with a long header."""
     head = b'GET /a HTTP/1.1\r\nhost: a\r\nlong: %s\r\n\r\n' % (b'x' * size)
     context.http.play(partial(ForwardHttp.send, data=head))
 
 
 @when('a caller connects and sends nothing')
 def send_nothing(context: Any) -> None:
-    """Wait for the end."""
+    """Wait until the connection is closed."""
     context.http.play(partial(ForwardHttp.send, data=b''))
 
 
-@when('a caller leaves before its answer')
+@when('a caller disconnects before its answer')
 def caller_leaves(context: Any) -> None:
-    """Returns when the application was told."""
-    context.http.play(leave)
+    """Disconnect, and wait until the application is notified."""
+    context.http.play(disconnect)
 
 
-@when('the router stops while one connection is idle and one has an answer under way')
+@when('the router stops while one connection is idle and one has an unfinished answer')
 def router_stops(context: Any) -> None:
-    """Returns when both are closed."""
+    """Stop, and wait until both connections are closed."""
     context.http.play(stop)
 
 
-@then('the application was asked: {asked}')
-def asked(context: Any, asked: str) -> None:
-    """Compare with what it was asked."""
-    found = [one.strip() for one in context.http.app.asked]
-    assert found == [one.strip(' ') for one in asked.split(', ')], found
+@then('the application got: {requests}')
+def requests(context: Any, requests: str) -> None:
+    """Check the requests that the application received."""
+    found = [one.strip() for one in context.http.app.requests]
+    assert found == [one.strip(' ') for one in requests.split(', ')], found
 
 
-@then('the application was asked nothing')
-def asked_nothing(context: Any) -> None:
-    """Look."""
-    assert not context.http.app.asked, context.http.app.asked
+@then('the application got no request')
+def got_nothing(context: Any) -> None:
+    """Check that the application received no request."""
+    assert not context.http.app.requests, context.http.app.requests
 
 
 @then('the caller got {count:d} whole answers')
 def whole(context: Any, count: int) -> None:
-    """Count their ends."""
+    """Count the ends of answers."""
     assert context.http.got.count(END) == count, context.http.got
 
 
 @then('the caller got the status {status:d}')
 def got_status(context: Any, status: int) -> None:
-    """Look at the first line."""
+    """Check the status line."""
     assert context.http.got.startswith(b'HTTP/1.1 %d ' % status), context.http.got
 
 
-@then('the caller was told that its request is bad')
+@then('the caller got an error about its request')
 def refused(context: Any) -> None:
-    """Either that it can't be read, or that its coding of the body is not known."""
+    """Check for status 400 (malformed) or 501 (unknown transfer coding)."""
     assert context.http.got.startswith((b'HTTP/1.1 400 ', b'HTTP/1.1 501 ')), context.http.got
 
 
 @then('the caller got no whole answer')
 def cut(context: Any) -> None:
-    """The connection was closed without the end."""
+    """Check that the connection was closed without the end of the answer."""
     assert b' 200 ' in context.http.got, context.http.got
     assert END not in context.http.got, context.http.got
 
 
 @then('the connection was closed after {least:g} to {most:g} seconds')
 def closed(context: Any, least: float, most: float) -> None:
-    """Look at the time that it took."""
-    assert least <= context.http.took_s <= most, context.http.took_s
+    """Check the time until the connection was closed."""
+    assert least <= context.http.elapsed_s <= most, context.http.elapsed_s
--- a/features/subjects/callers.py
+++ b/features/subjects/callers.py
@@ -1,4 +1,4 @@
-"""Subject: the HTTP side of a router, over a scripted front and an ASGI caller."""
+"""Subject: the HTTP interface of a router, with a scripted front and an ASGI caller."""
 
 from collections.abc import AsyncIterator, Awaitable, Callable
 from typing import Any
@@ -45,23 +45,23 @@
 
 
 class ScriptedFront:
-    """Answer every request with the same pieces, and remember what was asked."""
+    """Answers every request with the same pieces, and records the requests."""
 
     def __init__(self) -> None:
-        """Answer with an empty whole answer."""
+        """Initialize with an empty complete answer."""
         self.requests: list[CallerRequest] = []
         self.headers: tuple[tuple[str, str], ...] = (('content-type', 'application/json'),)
         self.pieces: list[Any] = [b'{}']
         self.refusal: Refusal | None = None
-        self.hangs = False
-        self.taken = 0
+        self.never_answers = False
+        self.requested = 0
         self.closed = False
         self.cancelled = False
 
     async def serve(self, request: CallerRequest) -> Answer | Refusal:
-        """Answer, refuse, or wait for ever."""
+        """Answer, refuse, or wait forever."""
         self.requests.append(request)
-        if self.hangs:
+        if self.never_answers:
             try:
                 await anyio.sleep_forever()
             finally:
@@ -73,11 +73,11 @@
     async def _chunks(self) -> AsyncIterator[bytes]:
         try:
             for piece in self.pieces:
-                self.taken += 1
+                self.requested += 1
                 if piece is BREAK:
                     raise AnswerInterrupted(LOST)
                 if piece is FAULT:
-                    raise ValueError('a fault of the front')
+                    raise ValueError('an exception in the front')
                 if piece is HANG:
                     await anyio.sleep_forever()
                 yield piece
@@ -86,20 +86,20 @@
 
 
 class Parts:
-    """The view, the operators and the state, as the application sees them."""
+    """Fakes of the view, the operator service and the router's state."""
 
     def __init__(self) -> None:
-        """Start ready."""
+        """Initialize as ready."""
         self.configuration = DECLARED
         self.is_leaving = False
         self.commands: list[tuple[str, str, str]] = []
 
     def leaving(self) -> bool:
-        """Tell whether the router leaves."""
+        """Tell whether the router is leaving."""
         return self.is_leaving
 
     def ready(self) -> tuple[bool, str]:
-        """Tell that it is ready."""
+        """Return that it is ready."""
         return True, ''
 
     def dump(self) -> dict[str, Any]:
@@ -111,7 +111,7 @@
         return {'open claims': 4}
 
     async def command(self, token: str, line: str, change_id: str) -> tuple[int, dict[str, Any]]:
-        """Know one command."""
+        """Accept one command; fail for all others."""
         if line == 'top-up nobody 5':
             return 404, {'status': 1, 'messages': ['there is no such account'], 'rows': []}
         if line != 'accounts':
@@ -121,10 +121,10 @@
 
 
 class AsgiCaller:
-    """One caller's connection: what it sends, what it takes, when it goes."""
+    """One caller's connection: its request, what it reads, and when it disconnects."""
 
     def __init__(self, body: bytes = b'') -> None:
-        """Send a body and read whatever comes."""
+        """Initialize with a body to send; the whole answer is read."""
         self.body = body
         self.status = 0
         self.headers: dict[str, str] = {}
@@ -136,7 +136,7 @@
         self._left = anyio.Event()
 
     async def receive(self) -> dict[str, Any]:
-        """Give the body, then the end of the connection."""
+        """Return the body, then the disconnect."""
         if not self._body_sent:
             self._body_sent = True
             return {'type': 'http.request', 'body': self.body, 'more_body': False}
@@ -144,7 +144,7 @@
         return {'type': 'http.disconnect'}
 
     async def send(self, message: Any) -> None:
-        """Take a piece of the answer, once this caller reads."""
+        """Accept a piece of the answer, once this caller reads."""
         await self.reads.wait()
         if message['type'] == 'http.response.start':
             self.status = message['status']
@@ -153,7 +153,7 @@
             self.parts.append(message['body'])
             self.finished = not message['more_body']
 
-    def leave(self) -> None:
+    def disconnect(self) -> None:
         """Close the connection."""
         self._left.set()
 
@@ -164,10 +164,10 @@
 
 
 class CallersSide:
-    """The application with all its neighbours played."""
+    """The application with fakes of all its dependencies."""
 
     def __init__(self) -> None:
-        """Start with nothing asked."""
+        """Initialize with no request sent."""
         self.front = ScriptedFront()
         self.parts = Parts()
         self.settings = CallersSettings(max_body_bytes=5000, send_within_s=60)
@@ -180,7 +180,7 @@
         self.send('POST', '/v1/chat/completions', msgspec.json.encode(document))
 
     def send(self, method: str, path: str, body: bytes = b'') -> None:
-        """Send a request and wait for its end."""
+        """Send a request and wait for the end of its answer."""
         virtual.run(lambda: self._exchange(method, path, body, _nothing))
 
     def send_and(self, act: Callable[['CallersSide'], Awaitable[None]], **fields: Any) -> None:
@@ -215,20 +215,20 @@
 
 
 async def _nothing(side: CallersSide) -> None:
-    """Only wait for the answer."""
+    """Wait for the answer without further actions."""
 
 
-async def leave_after_a_second(side: CallersSide) -> None:
-    """Close the connection while the answer is under way."""
+async def disconnect_after_a_second(side: CallersSide) -> None:
+    """Close the connection before the end of the answer."""
     await anyio.sleep(1)
-    side.caller.leave()
+    side.caller.disconnect()
 
 
 async def read_nothing(side: CallersSide) -> None:
-    """Stop reading for two seconds, note what was taken, then read on."""
+    """Stop reading for two seconds, note how many pieces were requested, then read on."""
     side.caller.reads = anyio.Event()
     await anyio.sleep(2)
-    side.taken_while_unread = side.front.taken  # type: ignore[attr-defined]
+    side.requested_while_unread = side.front.requested  # type: ignore[attr-defined]
     side.caller.reads.set()
 
 
--- a/features/subjects/callers_refusals.py
+++ b/features/subjects/callers_refusals.py
@@ -1,4 +1,4 @@
-"""Subject: docs/REFUSALS.md, and the codes that stand in the code."""
+"""Subject: docs/REFUSALS.md, and the refusal codes in the source code."""
 
 import ast
 import pathlib
@@ -10,10 +10,10 @@
 
 
 class RefusalsPage:
-    """The codes of the page and of the code."""
+    """The refusal codes on the page and in the source code."""
 
     def __init__(self) -> None:
-        """Read both."""
+        """Read the page and the source code."""
         text = (ROOT / 'docs' / 'REFUSALS.md').read_text()
         self.listed = set(re.findall(r'^\| `(\w+)`', text, re.MULTILINE))
         paths = (ROOT / 'packages').glob('*/src/**/*.py')
@@ -23,7 +23,7 @@
 
 
 def codes_in(path: pathlib.Path) -> Iterator[str]:
-    """Yield the codes of the refusals that a module makes."""
+    """Yield the codes of the refusals that a module creates."""
     tree = ast.parse(path.read_text())
     constants = {
         target.id: node.value.value
@@ -38,7 +38,7 @@
 
 
 def _code(call: ast.Call, constants: dict[str, object]) -> Iterator[str]:
-    """Yield the code that is given to a new refusal, or to a changed one."""
+    """Yield the code passed to a new or changed refusal."""
     named = [keyword.value for keyword in call.keywords if keyword.arg == 'code']
     made = isinstance(call.func, ast.Name) and call.func.id in KINDS
     changed = isinstance(call.func, ast.Attribute) and call.func.attr == '_replace'
--- a/features/subjects/callers_sockets.py
+++ b/features/subjects/callers_sockets.py
@@ -1,4 +1,4 @@
-"""Subject: the HTTP side on a real socket, served by hypercorn, asked with httpx."""
+"""Subject: the HTTP interface on a real socket, with hypercorn as server and httpx as client."""
 
 from collections.abc import AsyncIterator, Awaitable, Callable
 
@@ -22,10 +22,10 @@
 
 
 class HeldFront:
-    """Stream one event, and the last when it is let go."""
+    """Streams one event, and the last one after ``release`` is set."""
 
     def __init__(self) -> None:
-        """Hold the answer back."""
+        """Initialize with the answer held back."""
         self.release = anyio.Event()
         self.cut = anyio.Event()
 
@@ -38,28 +38,30 @@
             yield FIRST
             await self.release.wait()
             yield LAST
-        except BaseException:  # noqa: WPS424 (any end but a good one counts as cut)
+        except BaseException:  # noqa: WPS424 (any exception counts as cut)
             self.cut.set()
             raise
 
 
 class CallersSockets:
-    """Serve, stream one answer, and stop while it is under way."""
+    """Serves, streams one answer, and stops during the stream."""
 
     def __init__(self) -> None:
-        """Start with nothing asked."""
+        """Initialize with no request sent."""
         self.settings = CallersSettings()
-        self.got: list[bytes] = []
+        self.received: list[bytes] = []
         self.ended = False
         self.refused = False
         self.was_cut = False
         self.cut_count = 0
 
-    def run(self, during: Callable[['Open'], Awaitable[None]], stop_within_s: float) -> None:
-        """Do ``during`` while a stream is open; returns when the server has ended."""
+    def run(self, during: Callable[['OpenStream'], Awaitable[None]], stop_within_s: float) -> None:
+        """Run ``during`` while a stream is open; return when the server has ended."""
         anyio.run(self._run, during, stop_within_s)
 
-    async def _run(self, during: Callable[['Open'], Awaitable[None]], stop_within_s: float) -> None:
+    async def _run(
+        self, during: Callable[['OpenStream'], Awaitable[None]], stop_within_s: float
+    ) -> None:
         front = HeldFront()
         parts = Parts()
         app = CallersApp(self.settings, front, parts, WallClock(), parts, parts)
@@ -67,125 +69,133 @@
         with anyio.fail_after(GUARD_S):
             async with anyio.create_task_group() as group:
                 address = await group.start(serve, app, '127.0.0.1:0', shutdown, stop_within_s)
-                await self._stream(Open(self, front, shutdown, address), during)
+                await self._stream(OpenStream(self, front, shutdown, address), during)
         self.ended = True
         self.cut_count = app.cut_count
         self.was_cut = front.cut.is_set()
 
-    async def _stream(self, opened: 'Open', during: Callable[['Open'], Awaitable[None]]) -> None:
+    async def _stream(
+        self, stream: 'OpenStream', during: Callable[['OpenStream'], Awaitable[None]]
+    ) -> None:
         headers = {'authorization': f'Bearer {KEY}'}
-        url = f'http://{opened.address}/v1/chat/completions'
+        url = f'http://{stream.address}/v1/chat/completions'
         async with httpx.AsyncClient(headers=headers) as client:
             async with client.stream('POST', url, content=CHAT) as answer:
                 chunks = answer.aiter_bytes()
-                self.got.append(await anext(chunks))
-                await during(opened)
-                await self._take_rest(chunks)
+                self.received.append(await anext(chunks))
+                await during(stream)
+                await self._read_rest(chunks)
 
-    async def _take_rest(self, chunks: AsyncIterator[bytes]) -> None:
+    async def _read_rest(self, chunks: AsyncIterator[bytes]) -> None:
         try:
             async for chunk in chunks:
-                self.got.append(chunk)
+                self.received.append(chunk)
         except httpx.RemoteProtocolError:
-            self.got.append(CUT)
+            self.received.append(CUT)
 
 
-class Open:
-    """A stream under way: what can be done meanwhile."""
+class OpenStream:
+    """An open stream, with what a scenario needs to act during it."""
 
     def __init__(
         self, subject: CallersSockets, front: HeldFront, shutdown: anyio.Event, address: str
     ) -> None:
-        """Hold on to both ends."""
+        """Initialize with both ends of the stream."""
         self.subject = subject
         self.front = front
         self.shutdown = shutdown
         self.address = address
 
 
-async def stop_then_go_on(opened: Open) -> None:
-    """Tell the server to stop, see that it takes no connection, let the stream end."""
-    opened.shutdown.set()
-    host, _, port = opened.address.partition(':')
-    while not opened.subject.refused:
+async def stop_then_finish(stream: OpenStream) -> None:
+    """Stop the server, check that it accepts no connection, and let the stream end."""
+    stream.shutdown.set()
+    host, _, port = stream.address.partition(':')
+    while not stream.subject.refused:
         try:
             connection = await anyio.connect_tcp(host, int(port))
         except OSError:
-            opened.subject.refused = True
+            stream.subject.refused = True
         else:
             await connection.aclose()
-    opened.front.release.set()
+    stream.front.release.set()
 
 
-async def stop_and_hold(opened: Open) -> None:
-    """Tell the server to stop and never let the stream end."""
-    opened.shutdown.set()
+async def stop_and_hold(stream: OpenStream) -> None:
+    """Stop the server and never let the stream end."""
+    stream.shutdown.set()
 
 
-async def leave(opened: Open) -> None:
-    """Wait for nothing: the answer is closed by the caller."""
-    raise CallerLeft
+async def disconnect(stream: OpenStream) -> None:
+    """Close the caller's connection at once."""
+    raise CallerDisconnected
 
 
-class CallerLeft(Exception):
+class CallerDisconnected(Exception):
     """The caller closed its connection."""
 
 
-class LeavingCaller(CallersSockets):
+class DisconnectingCaller(CallersSockets):
     """A caller that closes its connection in the middle of the stream."""
 
-    async def _stream(self, opened: Open, during: Callable[[Open], Awaitable[None]]) -> None:
+    async def _stream(
+        self, stream: OpenStream, during: Callable[[OpenStream], Awaitable[None]]
+    ) -> None:
         try:
-            await super()._stream(opened, during)
-        except CallerLeft:
-            await opened.front.cut.wait()
-        opened.shutdown.set()
+            await super()._stream(stream, during)
+        except CallerDisconnected:
+            await stream.front.cut.wait()
+        stream.shutdown.set()
 
 
 class BusyCaller(CallersSockets):
     """A caller that sends one chat after another over one connection."""
 
     def __init__(self, count: int) -> None:
-        """Send ``count`` chats."""
+        """Initialize to send ``count`` chats."""
         super().__init__()
         self.count = count
         self.metrics = ''
 
-    async def _stream(self, opened: Open, during: Callable[[Open], Awaitable[None]]) -> None:
-        opened.front.release.set()
+    async def _stream(
+        self, stream: OpenStream, during: Callable[[OpenStream], Awaitable[None]]
+    ) -> None:
+        stream.front.release.set()
         headers = {'authorization': f'Bearer {KEY}'}
         limits = httpx.Limits(max_connections=1)
-        url = f'http://{opened.address}'
+        url = f'http://{stream.address}'
         async with httpx.AsyncClient(headers=headers, limits=limits) as client:
             for _ in range(self.count):
                 answer = await client.post(f'{url}/v1/chat/completions', content=CHAT)
-                self.got.append(answer.content)
+                self.received.append(answer.content)
             self.metrics = (await client.get(f'{url}/metrics')).text
-            await during(opened)
+            await during(stream)
 
 
 class LongBodyCaller(CallersSockets):
-    """A caller whose body comes in many parts, without ever ending."""
+    """A caller that sends a body in many parts, without its end."""
 
     def __init__(self, parts: int, fitting: int) -> None:
-        """Send ``parts`` parts; the first ``fitting`` are not too large."""
+        """Initialize to send ``parts`` parts, of which ``fitting`` fit within the limit."""
         super().__init__()
         self.parts = parts
         self.settings = CallersSettings(max_body_bytes=fitting * len(PART))
 
-    async def _stream(self, opened: Open, during: Callable[[Open], Awaitable[None]]) -> None:
-        host, _, port = opened.address.partition(':')
+    async def _stream(
+        self, stream: OpenStream, during: Callable[[OpenStream], Awaitable[None]]
+    ) -> None:
+        host, _, port = stream.address.partition(':')
         head = f'POST /v1/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer {KEY}\r\n'
         async with await anyio.connect_tcp(host, int(port)) as connection:
             await connection.send(f'{head}Transfer-Encoding: chunked\r\n\r\n'.encode())
             chunk = b'%x\r\n%b\r\n' % (len(PART), PART)
             await connection.send(b''.join(chunk for _ in range(self.parts)))
-            await self._take_all(connection)
-        await during(opened)
+            await self._read_all(connection)
+        await during(stream)
 
-    async def _take_all(self, connection: SocketStream) -> None:
+    async def _read_all(self, connection: SocketStream) -> None:
         try:
             while True:
-                self.got.append(await connection.receive())
+                self.received.append(await connection.receive())
         except (anyio.EndOfStream, anyio.BrokenResourceError):
             return
--- a/features/subjects/forward_http.py
+++ b/features/subjects/forward_http.py
@@ -1,4 +1,4 @@
-"""Subject: the listener of a forwarding router on a real socket, spoken to byte by byte."""
+"""Subject: the listener of a forwarding router on a real socket, with raw requests."""
 
 import asyncio
 from collections.abc import Awaitable, Callable, MutableMapping
@@ -19,12 +19,12 @@
 
 
 class EchoApp:
-    """Answers with the target and the body; paths say what else it does."""
+    """Answers with the target; some paths make it wait or break off."""
 
     def __init__(self) -> None:
-        """Start without requests."""
-        self.asked: list[str] = []
-        self.left = anyio.Event()
+        """Initialize without requests."""
+        self.requests: list[str] = []
+        self.disconnected = anyio.Event()
         self.held = anyio.Event()
 
     async def __call__(
@@ -42,10 +42,10 @@
         body = await _body(receive)
         if body is None:
             return
-        self.asked.append(f'{scope["method"]} {target.decode()} {body.decode()}')
+        self.requests.append(f'{scope["method"]} {target.decode()} {body.decode()}')
         if target == b'/left':
             assert (await receive())['type'] == 'http.disconnect'
-            self.left.set()
+            self.disconnected.set()
             return
         await send({'type': 'http.response.start', 'status': 200, 'headers': []})
         await send({'type': 'http.response.body', 'body': target, 'more_body': True})
@@ -57,7 +57,7 @@
 
 
 async def _body(receive: Callable[[], Awaitable[Message]]) -> bytes | None:
-    """Return the body; None where the caller left before it was whole."""
+    """Return the body, or None if the caller disconnected before its end."""
     parts = b''
     while True:
         message = await receive()
@@ -72,12 +72,12 @@
     """One connection of a caller."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Hold on to both directions."""
+        """Initialize with both directions of the connection."""
         self.reader = reader
         self.writer = writer
 
     async def rest(self) -> bytes:
-        """Return all that comes until the connection is closed."""
+        """Return all data received until the connection is closed."""
         try:
             return await self.reader.read()
         except ConnectionError:
@@ -85,23 +85,23 @@
 
 
 class ForwardHttp:
-    """The listener; ``play`` runs moves of a scenario against it."""
+    """The listener; ``play`` runs the actions of a scenario against it."""
 
     def __init__(self) -> None:
-        """Serve the limits that are declared."""
+        """Initialize with declared limits."""
         self.app = EchoApp()
         self.closed = anyio.Event()
         self.address = ''
         self.got = b''
-        self.took_s = 0.0
+        self.elapsed_s = 0.0
         routing_state = RoutingState()
         limits = RequestLimits(header_bytes=HEADER_BYTES, idle_ms=IDLE_MS)
         routing_state.declare(Declarations(1, (), (), (), limits), b'', 'test')
         self._routing_state = routing_state
 
-    def play(self, moves: Callable[['ForwardHttp'], Awaitable[None]]) -> None:
-        """Serve while moves are made; returns when the listener has ended."""
-        anyio.run(self._play, moves)
+    def play(self, actions: Callable[['ForwardHttp'], Awaitable[None]]) -> None:
+        """Serve during the actions of a scenario; return when the listener has ended."""
+        anyio.run(self._play, actions)
 
     async def connect(self) -> Caller:
         """Open a connection."""
@@ -109,36 +109,36 @@
         return Caller(*await asyncio.open_connection(host, int(port)))
 
     async def send(self, data: bytes) -> None:
-        """Send bytes on a new connection, and take all until it is closed."""
+        """Send bytes on a new connection, and read until it is closed."""
         caller = await self.connect()
         began_s = anyio.current_time()
         caller.writer.write(data)
         self.got = await caller.rest()
-        self.took_s = anyio.current_time() - began_s
+        self.elapsed_s = anyio.current_time() - began_s
 
-    async def _play(self, moves: Callable[['ForwardHttp'], Awaitable[None]]) -> None:
+    async def _play(self, actions: Callable[['ForwardHttp'], Awaitable[None]]) -> None:
         settings = CallersSettings()
         with anyio.fail_after(GUARD_S):
             async with anyio.create_task_group() as group:
                 self.address = await group.start(
                     serve_http, self.app, '127.0.0.1:0', settings, self._routing_state, self.closed
                 )
-                await moves(self)
+                await actions(self)
                 self.closed.set()
 
 
-async def leave(subject: ForwardHttp) -> None:
-    """Close the connection while the answer is waited for."""
+async def disconnect(subject: ForwardHttp) -> None:
+    """Close the connection while waiting for the answer."""
     caller = await subject.connect()
     caller.writer.write(b'GET /left HTTP/1.1\r\nhost: a\r\n\r\n')
-    while not subject.app.asked:
+    while not subject.app.requests:
         await anyio.sleep(0)
     caller.writer.close()
-    await subject.app.left.wait()
+    await subject.app.disconnected.wait()
 
 
 async def stop(subject: ForwardHttp) -> None:
-    """Stop while one connection is idle and one has an answer under way."""
+    """Stop while one connection is idle and one has an unfinished answer."""
     idle = await subject.connect()
     idle.writer.write(b'GET /idle HTTP/1.1\r\nhost: a\r\n\r\n')
     await idle.reader.readuntil(END)
