--- a/packages/fleet/src/endivesaddle/fleet/routing/__init__.py
+++ b/packages/fleet/src/endivesaddle/fleet/routing/__init__.py
@@ -1,4 +1,4 @@
-"""Routing and admission: which backend server gets a request, when, or why none does."""
+"""Routing and admission of requests to backend servers."""
 
 from endivesaddle.fleet.routing.admission import Admission
 from endivesaddle.fleet.routing.settings import RoutingSettings
--- a/packages/fleet/src/endivesaddle/fleet/routing/admission.py
+++ b/packages/fleet/src/endivesaddle/fleet/routing/admission.py
@@ -1,9 +1,8 @@
-"""Admission: choose a backend server, wait for a slot, or refuse early and for good.
+"""Admission: choose a backend server, wait for a slot, or refuse a request early and for good.
 
-A request that can't meet its deadline is refused at once: work on it would be
-thrown away, and would make others late too.  What can meet it waits here and
-not at the engine, so that the order stays fair and a place is taken only where
-there is room.
+A request that can't meet its deadline is refused immediately: work on it would be wasted and would
+delay other requests.  Other requests wait here instead of on the engine, so that the order stays
+fair and a request is only sent to a server with a free slot.
 """
 
 from collections import Counter
@@ -25,12 +24,12 @@
 from endivesaddle.fleet.sentinels import Refusal
 
 DEFAULT_MAX_QUEUED = 64
-CAUTION = 0.8
-"""Share of an expected time that has to fit: to refuse falsely is worse than to be late."""
+SAFETY_FACTOR = 0.8
+"""Factor on expected times: a false refusal is worse than a late response."""
 
 
 class Admission:
-    """The port ``Routing`` of one router; ``run`` has to run beside it."""
+    """Implements the ``Routing`` protocol for one router; ``run`` must run in the background."""
 
     def __init__(
         self,
@@ -39,7 +38,7 @@
         view: FleetView,
         clock: Clock,
     ) -> None:
-        """Route for one router; its random choices are seeded by its identity."""
+        """Initialize with no requests; the router's identity seeds the random choices."""
         self._settings = settings
         self._view = view
         self._clock = clock
@@ -50,7 +49,7 @@
         self._counts: Counter[str] = Counter()
 
     async def run(self) -> None:
-        """Look at members and loads, and serve the queues, until cancelled."""
+        """Refresh members and loads and serve the queues until cancelled."""
         while True:
             await anyio.sleep(self._settings.routing_refresh_s)
             self._placer.table.refresh(self._clock.now_s())
@@ -60,8 +59,8 @@
     async def admit(
         self, routing_request: RoutingRequest, exclude: frozenset[str] = frozenset()
     ) -> Choice | Refusal:
-        """Choose a backend server, waiting in a bounded queue if need be."""
-        outcome = self._at_once(routing_request, exclude)
+        """Choose a backend server, waiting in a bounded queue if necessary."""
+        outcome = self._decide(routing_request, exclude)
         if isinstance(outcome, Waiting):
             outcome = await self._wait(outcome)
         if isinstance(outcome, Refusal):
@@ -71,13 +70,13 @@
         return outcome
 
     def first_token(self, choice: Choice, routing_request: RoutingRequest) -> None:
-        """Learn that the first token came."""
+        """Record the first token of a response."""
         self._placer.first_token(choice, routing_request)
 
     def ended(
         self, choice: Choice, routing_request: RoutingRequest, ok: bool, used_tokens: int
     ) -> None:
-        """Learn that a run ended, well or not; always called once after ``admit``."""
+        """Record the end of a run; always called once after a successful ``admit``."""
         self._placer.ended(choice, routing_request, ok, used_tokens)
         self._counts['ended_ok' if ok else 'ended_failed'] += 1
         if ok and used_tokens:
@@ -85,13 +84,13 @@
         self._serve(key_of(routing_request))
 
     def may_retry(self, account: str) -> bool:
-        """Spend from the retry budget; False when it is used up."""
+        """Spend one retry of the account's retry budget; False if it is used up."""
         allowed = self._retries.spend(account)
         self._counts['retries_allowed' if allowed else 'retries_refused'] += 1
         return allowed
 
     def counters(self) -> dict[str, float]:
-        """Return counts since the start, and sizes of now."""
+        """Return counters since the start and current sizes."""
         sizes = {
             'prefixes': len(self._placer.prefixes),
             'servers': len(self._placer.table.servers),
@@ -108,10 +107,10 @@
             'counters': self.counters(),
         }
 
-    def _at_once(
+    def _decide(
         self, routing_request: RoutingRequest, exclude: frozenset[str]
     ) -> Choice | Refusal | Waiting:
-        """Place or refuse a request now, or let it wait."""
+        """Place, refuse or enqueue a request."""
         group = self._group(routing_request, exclude)
         if group is None:
             return refusals.no_server(routing_request, self._random)
@@ -122,83 +121,87 @@
         if not queue.ahead_of(routing_request):
             server = self._placer.choose(group, routing_request, exclude)
         if server is None:
-            return self._enqueued(
+            return self._enqueue(
                 group,
                 queue,
-                Waiting(routing_request, exclude, self._latest(group, routing_request)),
+                Waiting(
+                    routing_request, exclude, self._latest_start_unix_s(group, routing_request)
+                ),
             )
-        late = self._late(
+        refusal = self._refuse_late(
             group, routing_request, self._placer.first_token_s(server, routing_request)
         )
-        return late or self._placer.send(group, routing_request, server)
+        return refusal or self._placer.send(group, routing_request, server)
 
     def _group(self, routing_request: RoutingRequest, exclude: frozenset[str]) -> Group | None:
-        """Return the servers that a request may go to, None where there is none."""
+        """Return the group of servers for a request, None if no server is eligible."""
         group = self._placer.group(routing_request)
         if group is not None and self._any_eligible(group, exclude):
             return group
-        # Failure: a server was declared or joined since the last look.  Symptom: its
-        # first requests are refused though the members show it.  A refusal is rare
-        # and final, so it rests on a look made for it.
-        self._placer.table.look_now()
+        # Failure: a server was declared or joined since the last refresh.  Symptom: its
+        # first requests are refused although it is a member.  A refusal is rare and
+        # final, so the table is refreshed before it.
+        self._placer.table.force_refresh()
         group = self._placer.group(routing_request)
         if group is not None and self._any_eligible(group, exclude):
             return group
         return None
 
-    def _enqueued(self, group: Group, queue: Queue, waiting: Waiting) -> Refusal | Waiting:
-        """Let a request wait, unless its account's line is full or it would wait in vain."""
+    def _enqueue(self, group: Group, queue: Queue, waiting: Waiting) -> Refusal | Waiting:
+        """Enqueue a request unless its account's queue is full or the wait would be too long."""
         routing_request = waiting.routing_request
         wait_s = (queue.ahead_of(routing_request) + 1) * group.holding_s / max(1, group.outstanding)
         account = self._view.configuration.accounts.get(routing_request.account)
-        most = account.max_queued if account else DEFAULT_MAX_QUEUED
-        if queue.count(routing_request.account) >= most:
+        max_queued = account.max_queued if account else DEFAULT_MAX_QUEUED
+        if queue.count(routing_request.account) >= max_queued:
             return refusals.too_many(routing_request.account, wait_s, self._random)
-        spare_s = waiting.latest_unix_s - self._clock.now_s()
-        if spare_s < 0 or (group.outstanding and CAUTION * wait_s > spare_s):
+        slack_s = waiting.latest_unix_s - self._clock.now_s()
+        if slack_s < 0 or (group.outstanding and SAFETY_FACTOR * wait_s > slack_s):
             reason = f'all servers are busy for about {wait_s:.1f} s'
-            return refusals.overloaded(reason, wait_s - spare_s, self._random)
-        if len(queue) >= self._settings.routing_queued and not self._yielded(
+            return refusals.overloaded(reason, wait_s - slack_s, self._random)
+        if len(queue) >= self._settings.routing_queued and not self._displace(
             queue, routing_request, wait_s
         ):
-            return refusals.overloaded('too many requests wait', wait_s, self._random)
+            return refusals.overloaded('too many requests are waiting', wait_s, self._random)
         queue.push(waiting)
         return waiting
 
-    def _yielded(self, queue: Queue, routing_request: RoutingRequest, wait_s: float) -> bool:
-        """Turn away one that has less claim to wait than a newcomer, if there is one."""
+    def _displace(self, queue: Queue, routing_request: RoutingRequest, wait_s: float) -> bool:
+        """Refuse a waiting request of lower rank than a new one; False if there is none."""
         last = queue.last()
         if last is None or last.routing_request.priority > routing_request.priority:
             return False
-        longer = (
+        has_more_waiting = (
             queue.count(last.routing_request.account) > queue.count(routing_request.account) + 1
         )
-        if last.routing_request.priority == routing_request.priority and not longer:
+        if last.routing_request.priority == routing_request.priority and not has_more_waiting:
             return False
         queue.remove(last)
-        last.decide(refusals.overloaded('made way for another request', wait_s, self._random))
+        last.decide(
+            refusals.overloaded('displaced from the queue by another request', wait_s, self._random)
+        )
         return True
 
     async def _wait(self, waiting: Waiting) -> Choice | Refusal:
-        """Wait for a place until the latest moment that makes sense."""
+        """Wait for a slot until the request could no longer meet its deadline."""
         cancelled = anyio.get_cancelled_exc_class()
-        left_s = max(0, waiting.latest_unix_s - self._clock.now_s())
+        remaining_s = max(0, waiting.latest_unix_s - self._clock.now_s())
         try:
-            with anyio.move_on_after(left_s):
+            with anyio.move_on_after(remaining_s):
                 await waiting.decided()
         except cancelled:
             self._withdraw(waiting)
             raise
         if waiting.outcome is None:
             self._withdraw(waiting)
-            return refusals.overloaded('no server had room in time', 0, self._random)
+            return refusals.overloaded('no server had a free slot in time', 0, self._random)
         return waiting.outcome
 
     def _withdraw(self, waiting: Waiting) -> None:
-        """Take back a request that waits, or that has just been placed unseen.
+        """Remove a waiting request, or release one that was placed and not yet returned.
 
-        Failure: the caller goes away in the moment between the decision and
-        its hearing; the slot would count as taken for ever.
+        Failure: the caller disconnects between the decision and its delivery; without this, the
+        slot would count as occupied forever.
         """
         if waiting.outcome is None:
             self._queues[key_of(waiting.routing_request)].remove(waiting)
@@ -206,7 +209,7 @@
             self._placer.ended(waiting.outcome, waiting.routing_request, ok=True, used_tokens=0)
 
     def _serve(self, key: GroupKey) -> None:
-        """Place waiting requests while there is room."""
+        """Place waiting requests while there are free slots."""
         queue = self._queues.get(key)
         while queue:
             waiting = queue.first()
@@ -220,26 +223,28 @@
     def _any_eligible(self, group: Group, exclude: frozenset[str]) -> bool:
         return any(self._placer.eligible(server, exclude) for server in group.servers)
 
-    def _latest(self, group: Group, routing_request: RoutingRequest) -> float:
-        """Return until when a place is of use: the answer has to end by the deadline."""
-        return routing_request.deadline_unix_s - CAUTION * self._placer.answer_s(
+    def _latest_start_unix_s(self, group: Group, routing_request: RoutingRequest) -> float:
+        """Return the latest useful start: the response has to end by the deadline."""
+        return routing_request.deadline_unix_s - SAFETY_FACTOR * self._placer.answer_s(
             group, routing_request
         )
 
-    def _late(
+    def _refuse_late(
         self, group: Group, routing_request: RoutingRequest, first_s: float
     ) -> Refusal | None:
-        """Refuse what can't end by its deadline, but not on old knowledge alone.
+        """Refuse a request that can't end by its deadline, but not on outdated estimates only.
 
-        Failure: one slow spell teaches that answers take long, all are refused,
-        and nothing runs that could teach otherwise.  With nothing of this
-        router's under way the request goes and is the measurement.
+        Failure: after a slow period the estimates are high, all requests are refused, and none
+        runs that could correct the estimates.  If this router has no request in flight, the
+        request is sent and serves as the measurement.
         """
-        spare_s = routing_request.deadline_unix_s - self._clock.now_s()
-        lacking_s = CAUTION * (first_s + self._placer.answer_s(group, routing_request)) - spare_s
-        if lacking_s <= 0 or not group.outstanding:
+        slack_s = routing_request.deadline_unix_s - self._clock.now_s()
+        overrun_s = (
+            SAFETY_FACTOR * (first_s + self._placer.answer_s(group, routing_request)) - slack_s
+        )
+        if overrun_s <= 0 or not group.outstanding:
             return None
-        reason = f'the answer would be late by about {lacking_s:.1f} s'
-        if lacking_s > first_s:
+        reason = f'the response would be late by about {overrun_s:.1f} s'
+        if overrun_s > first_s:
             return refusals.deadline(reason)
-        return refusals.overloaded(reason, lacking_s, self._random)
+        return refusals.overloaded(reason, overrun_s, self._random)
--- a/packages/fleet/src/endivesaddle/fleet/routing/placer.py
+++ b/packages/fleet/src/endivesaddle/fleet/routing/placer.py
@@ -1,4 +1,4 @@
-"""Place requests on backend servers, and learn from how they fare there."""
+"""Place requests on backend servers, and update estimates from their outcomes."""
 
 from random import Random
 
@@ -8,20 +8,20 @@
 from endivesaddle.fleet.ports import FleetView
 from endivesaddle.fleet.routing import events
 from endivesaddle.fleet.routing.expected import Expected, uncached_tokens
-from endivesaddle.fleet.routing.policies import Policy, Question, policies
+from endivesaddle.fleet.routing.policies import Policy, PolicyContext, policies
 from endivesaddle.fleet.routing.prefixes import Prefixes
-from endivesaddle.fleet.routing.servers import Sent, Server
+from endivesaddle.fleet.routing.servers import SentRequest, Server
 from endivesaddle.fleet.routing.settings import RoutingSettings
 from endivesaddle.fleet.routing.table import Group, Table, key_of
 
 DEFAULT_POLICIES = (('engine', 'earliest_first_token'), ('service', 'least_outstanding'))
-"""Policy for each kind of backend server, where none is declared."""
-SLOW_PACE = 1.8
-"""An engine's tokens may take half as long again with a full batch; this is beyond."""
+"""Default policy for each kind of backend server."""
+MAX_HEALTHY_PACE = 1.8
+"""An engine with a full batch may take 1.5 times as long per token; this is beyond it."""
 
 
 class Placer:
-    """Where this router's requests are and may go."""
+    """Chooses servers for the requests of one router and tracks them."""
 
     def __init__(
         self,
@@ -31,7 +31,7 @@
         clock: Clock,
         random: Random,
     ) -> None:
-        """Place requests of one router."""
+        """Initialize with no requests."""
         self.prefixes = Prefixes(settings.routing_prefixes)
         self.table = Table(settings, view, self.prefixes)
         self._view = view
@@ -41,14 +41,14 @@
         self._policies: dict[str, Policy] = {}
 
     def group(self, routing_request: RoutingRequest) -> Group | None:
-        """Return the servers that a request may go to, as of now; None when there are none."""
+        """Return the current group of servers for a request, None if it is empty."""
         self.table.refresh(self._clock.now_s())
         self._expected.regions = self._view.configuration.data_centres
         group = self.table.groups.get(key_of(routing_request))
         return group if group and group.servers else None
 
     def eligible(self, server: Server, exclude: frozenset[str]) -> bool:
-        """Tell whether a server takes new requests at all: not tried already, not leaving."""
+        """Return whether a server may get the request: it is not in ``exclude`` and not leaving."""
         if server.name in exclude or self._view.leaving(server.member.instance):
             return False
         return server.load is None or not server.load.leaving
@@ -56,32 +56,34 @@
     def choose(
         self, group: Group, routing_request: RoutingRequest, exclude: frozenset[str]
     ) -> Server | None:
-        """Choose a server with room; where all are set aside, one of them; else None."""
+        """Choose a server with a free slot, or one set aside if all are; None if there is none."""
         now_unix_s = self._clock.now_s()
 
         def is_open(server: Server) -> bool:
-            return server.has_room() and server.well(now_unix_s) and self.eligible(server, exclude)
+            return (
+                server.has_room() and server.healthy(now_unix_s) and self.eligible(server, exclude)
+            )
 
-        question = Question(
+        context = PolicyContext(
             routing_request, group, is_open, self._expected, self.prefixes, self._random
         )
-        server = self._policy(group.key[0]).choose(question)
-        return server or self._least_bad(group, exclude, now_unix_s)
+        server = self._policy(group.key[0]).choose(context)
+        return server or self._fallback(group, exclude, now_unix_s)
 
     def first_token_s(self, server: Server, routing_request: RoutingRequest) -> float:
-        """Return seconds until the first token, were the request sent there now."""
+        """Return the expected seconds until the first token if the request were sent now."""
         share = self.prefixes.shares(routing_request.prefix_hashes).get(server.name, 0)
         return self._expected.first_token_s(server, routing_request, share)
 
     def send(self, group: Group, routing_request: RoutingRequest, server: Server) -> Choice:
-        """Note that a request goes to a server now."""
+        """Record that a request is sent to a server now."""
         now_unix_s = self._clock.now_s()
         share = self.prefixes.shares(routing_request.prefix_hashes).get(server.name, 0)
         expected_unix_s = now_unix_s + self._expected.first_token_s(server, routing_request, share)
         tokens = uncached_tokens(routing_request, share)
         server.sent(
             routing_request.request_key,
-            Sent(now_unix_s, expected_unix_s, tokens, server.prefilling_tokens),
+            SentRequest(now_unix_s, expected_unix_s, tokens, server.prefilling_tokens),
         )
         server.health.sent(routing_request.request_key)
         group.outstanding += 1
@@ -89,7 +91,7 @@
         return Choice(server.name, server.member.address, expected_unix_s)
 
     def first_token(self, choice: Choice, routing_request: RoutingRequest) -> None:
-        """Learn that the first token came."""
+        """Record the first token of a response."""
         server = self.table.servers.get(choice.server)
         if server is not None:
             server.first_token(routing_request.request_key, self._clock.now_s())
@@ -97,10 +99,10 @@
     def ended(
         self, choice: Choice, routing_request: RoutingRequest, ok: bool, used_tokens: int
     ) -> None:
-        """Learn that a run ended, well or not.
+        """Record the end of a run.
 
-        A run that ended well but gave no token and used none was never
-        dispatched, or its caller went away: that says nothing of the server.
+        A run that ended without an error but produced and used no token was never dispatched, or
+        its caller disconnected: that is no information about the server.
         """
         server = self.table.servers.get(choice.server)
         if server is None:
@@ -114,8 +116,8 @@
         if ok and (sent.first_unix_s or used_tokens):
             self._answered(server, routing_request, sent, now_unix_s)
         elif ok:
-            server.health.withdrawn(routing_request.request_key)
-            server.passed_over(sent, now_unix_s)
+            server.health.cancel_probe(routing_request.request_key)
+            server.mark_full(sent, now_unix_s)
         else:
             self._failed(server, routing_request, now_unix_s)
 
@@ -124,7 +126,7 @@
         return self._expected.answer_s(group, routing_request)
 
     def _answered(
-        self, server: Server, routing_request: RoutingRequest, sent: Sent, now_unix_s: float
+        self, server: Server, routing_request: RoutingRequest, sent: SentRequest, now_unix_s: float
     ) -> None:
         held_s = now_unix_s - sent.sent_unix_s
         answer_s = now_unix_s - (sent.first_unix_s or now_unix_s)
@@ -134,17 +136,17 @@
         server.learn(held_s, pace)
         probed = server.health.probe == routing_request.request_key
         shown = pace if probed else server.pace
-        if shown > SLOW_PACE and (probed or group.may_spare(now_unix_s)):
+        if shown > MAX_HEALTHY_PACE and (probed or group.may_set_aside_more(now_unix_s)):
             self._slow(server, now_unix_s)
         elif server.health.succeeded(routing_request.request_key):
             server.pace = 1.0
             events.SERVER_BACK.log(server=server.name)
 
     def _slow(self, server: Server, now_unix_s: float) -> None:
-        """Set a server aside whose answers take far longer than those of others.
+        """Set aside a server whose responses take far longer than those of others.
 
-        Failure: one engine slows down, and its share of all answers is late,
-        though it fails nothing.
+        Failure: one engine slows down, and its share of all responses is late although no request
+        fails.
         """
         server.health.slow(now_unix_s, self._random)
         events.SERVER_SLOW.log(server=server.name, pace=round(server.pace, 2))
@@ -156,17 +158,17 @@
                 server=server.name, until_unix_s=server.health.aside_until_unix_s
             )
 
-    def _least_bad(self, group: Group, exclude: frozenset[str], now_unix_s: float) -> Server | None:
-        """Return the emptiest server when none is well; None when a well one is just full.
+    def _fallback(self, group: Group, exclude: frozenset[str], now_unix_s: float) -> Server | None:
+        """Return the least occupied server if none is healthy; None if a healthy one is just full.
 
-        Failure: a fault that all servers seem to share (a bad request repeated, a
-        cut in front of the router) sets them all aside, and nothing is served.
+        Failure: a common cause (a bad request that is retried, a network fault in front of the
+        router) sets all servers aside, and no request is served.
         """
         eligible = [server for server in group.servers if self.eligible(server, exclude)]
-        if any(server.well(now_unix_s) for server in eligible):
+        if any(server.healthy(now_unix_s) for server in eligible):
             return None
-        roomy = [server for server in eligible if server.has_room()]
-        return min(roomy, key=Server.occupied, default=None)
+        with_room = [server for server in eligible if server.has_room()]
+        return min(with_room, key=Server.occupied, default=None)
 
     def _policy(self, kind: str) -> Policy:
         declared = self._view.configuration.policy
--- a/packages/fleet/src/endivesaddle/fleet/routing/policies.py
+++ b/packages/fleet/src/endivesaddle/fleet/routing/policies.py
@@ -1,8 +1,7 @@
 """Policies that choose a backend server; ``routing`` in the declared policy names one.
 
-Each is a small class, entered into the registry by its decorator.  A policy
-chooses among the servers that are open: live, not set aside, not tried
-already, and with room.
+Each is a small class that its decorator adds to the registry.  A policy chooses among the open
+servers: those that are live, not set aside, not tried already and have a free slot.
 """
 
 from collections.abc import Callable, Iterator, Sequence
@@ -19,19 +18,19 @@
 from endivesaddle.fleet.routing.table import Group
 
 SMALL_GROUP = 16
-"""Up to so many servers all are compared; beyond, a sample of them."""
-SAMPLED = 6
-"""Servers compared at random in a large group, beside those that may hold the prefix."""
-HOLDERS = 4
-HOMES = 2
+"""Up to this many servers, all are compared; in a larger group only a sample."""
+SAMPLE_SIZE = 6
+"""Random servers compared in a large group, besides those that may have the prefix cached."""
+MAX_HOLDERS = 4
+MAX_HOMES = 2
 NEAR_S = 0.02
-"""Expected first tokens that differ by less count as equal: the estimate is no better."""
+"""Differences between expected first tokens below this are within the error of the estimate."""
 HEAD_BLOCKS = 2
 """Blocks of the prompt that the hash of its head covers."""
 
 
-class Question(NamedTuple):
-    """What a policy is asked: a place for ``routing_request`` among the open servers of a group."""
+class PolicyContext(NamedTuple):
+    """The input of a policy: a place for ``routing_request`` among the open servers of a group."""
 
     routing_request: RoutingRequest
     group: Group
@@ -42,10 +41,10 @@
 
 
 class Policy(Protocol):
-    """Choose a server."""
+    """A policy that chooses a server."""
 
-    def choose(self, question: Question) -> Server | None:
-        """Return an open server, or None when there is none."""
+    def choose(self, context: PolicyContext) -> Server | None:
+        """Return an open server, or None."""
 
 
 policies: Registry[Callable[[], Policy]] = Registry('routing policy')
@@ -53,61 +52,61 @@
 
 @policies.add('round_robin')
 class RoundRobin:
-    """Take the servers in turn."""
+    """Choose the servers in turn."""
 
     def __init__(self) -> None:
-        """Start with the first."""
+        """Initialize with the first server next."""
         self._turn = 0
 
-    def choose(self, question: Question) -> Server | None:
+    def choose(self, context: PolicyContext) -> Server | None:
         """Return the next open server."""
-        servers = question.group.servers
+        servers = context.group.servers
         for _ in servers:
             self._turn += 1
             server = servers[self._turn % len(servers)]
-            if question.is_open(server):
+            if context.is_open(server):
                 return server
         return None
 
 
 @policies.add('least_outstanding')
 class LeastOutstanding:
-    """Take the server with the fewest requests, own and reported."""
+    """Choose the server with the fewest requests, own and reported."""
 
-    def choose(self, question: Question) -> Server | None:
+    def choose(self, context: PolicyContext) -> Server | None:
         """Return the least occupied of the open servers, or of a sample in a large group."""
-        candidates = _opened(question, _sample(question))
+        candidates = _open_servers(context, _sample(context))
         return min(candidates, key=Server.occupied, default=None)
 
 
 @policies.add('prefix_hash')
 class PrefixHash:
-    """Take the server that the prompt's head hashes to, so that caches are reused."""
+    """Choose the server that the head of the prompt hashes to, so that caches are reused."""
 
-    def choose(self, question: Question) -> Server | None:
+    def choose(self, context: PolicyContext) -> Server | None:
         """Return the first open server on the hash ring."""
-        homes = question.group.around(head_hash(question.routing_request))
-        return next((server for server in homes if question.is_open(server)), None)
+        homes = context.group.ring_from(head_hash(context.routing_request))
+        return next((server for server in homes if context.is_open(server)), None)
 
 
 @policies.add('earliest_first_token')
 class EarliestFirstToken:
-    """Take the server with the earliest expected first token; among near-equals the emptiest."""
+    """Choose the earliest expected first token; among nearly equal ones the least occupied."""
 
-    def choose(self, question: Question) -> Server | None:
+    def choose(self, context: PolicyContext) -> Server | None:
         """Return the open server with the earliest expected first token."""
-        routing_request = question.routing_request
-        shares = question.prefixes.shares(routing_request.prefix_hashes)
-        expected = question.expected
-        timed = [
+        routing_request = context.routing_request
+        shares = context.prefixes.shares(routing_request.prefix_hashes)
+        expected = context.expected
+        estimates = [
             (expected.first_token_s(server, routing_request, shares.get(server.name, 0)), server)
-            for server in _opened(question, _shortlist(question, shares))
+            for server in _open_servers(context, _shortlist(context, shares))
         ]
-        if not timed:
+        if not estimates:
             return None
-        limit_s = min(first_s for first_s, _ in timed) + NEAR_S
-        near = [server for first_s, server in timed if first_s <= limit_s]
-        return min(near, key=Server.occupied)
+        limit_s = min(first_s for first_s, _ in estimates) + NEAR_S
+        nearly_equal = [server for first_s, server in estimates if first_s <= limit_s]
+        return min(nearly_equal, key=Server.occupied)
 
 
 def head_hash(routing_request: RoutingRequest) -> int:
@@ -121,41 +120,41 @@
     )
 
 
-def _opened(question: Question, servers: Sequence[Server]) -> list[Server]:
-    candidates = [server for server in servers if question.is_open(server)]
-    question.random.shuffle(candidates)
+def _open_servers(context: PolicyContext, servers: Sequence[Server]) -> list[Server]:
+    candidates = [server for server in servers if context.is_open(server)]
+    context.random.shuffle(candidates)
     return candidates
 
 
-def _sample(question: Question) -> Sequence[Server]:
-    """Return the whole of a small group, else servers drawn at random.
+def _sample(context: PolicyContext) -> Sequence[Server]:
+    """Return all servers of a small group, otherwise a random sample.
 
-    Comparing a few drawn at random is nearly as good as comparing all, and
-    routers that share a lagging view don't all pick the same one.
+    Comparing a few random servers is nearly as good as comparing all, and routers that share an
+    outdated view don't all choose the same one.
     """
-    servers = question.group.servers
+    servers = context.group.servers
     if len(servers) <= SMALL_GROUP:
         return servers
-    return question.random.sample(servers, SAMPLED)
+    return context.random.sample(servers, SAMPLE_SIZE)
 
 
-def _shortlist(question: Question, shares: dict[str, float]) -> Sequence[Server]:
-    servers = question.group.servers
+def _shortlist(context: PolicyContext, shares: dict[str, float]) -> Sequence[Server]:
+    servers = context.group.servers
     if len(servers) <= SMALL_GROUP:
         return servers
-    drawn = {server.name: server for server in _sample(question)}
-    for home in _homes(question):
-        drawn[home.name] = home
-    for server in question.group.named(_longest(shares)):
-        drawn[server.name] = server
-    return list(drawn.values())
+    sampled = {server.name: server for server in _sample(context)}
+    for home in _homes(context):
+        sampled[home.name] = home
+    for server in context.group.find(_best_holders(shares)):
+        sampled[server.name] = server
+    return list(sampled.values())
 
 
-def _longest(shares: dict[str, float]) -> list[str]:
-    return sorted(shares, key=lambda name: shares[name], reverse=True)[:HOLDERS]
+def _best_holders(shares: dict[str, float]) -> list[str]:
+    return sorted(shares, key=lambda name: shares[name], reverse=True)[:MAX_HOLDERS]
 
 
-def _homes(question: Question) -> Iterator[Server]:
-    around = question.group.around(head_hash(question.routing_request))
-    for _ in range(HOMES):
-        yield next(around)
+def _homes(context: PolicyContext) -> Iterator[Server]:
+    ring = context.group.ring_from(head_hash(context.routing_request))
+    for _ in range(MAX_HOMES):
+        yield next(ring)
--- a/packages/fleet/src/endivesaddle/fleet/routing/queues.py
+++ b/packages/fleet/src/endivesaddle/fleet/routing/queues.py
@@ -1,8 +1,8 @@
-"""Requests that wait in a router for a slot: bounded, fair between accounts, by priority.
+"""Queues of requests waiting for a slot: bounded, fair between accounts, by priority.
 
-Accounts are served by start-time fair queueing: each dispatch moves its account
-ahead by the tokens that it asked for, and the account that is least ahead goes
-next.  So an account that floods the router waits behind its own requests.
+Accounts are served by start-time fair queueing: each dispatch advances its account by the tokens
+requested, and the least advanced account is served next.  An account that floods the router waits
+behind its own requests.
 """
 
 from collections import deque
@@ -15,12 +15,12 @@
 
 
 class Waiting:
-    """One request that waits; ``outcome`` is set once, with ``decided``."""
+    """A waiting request; ``outcome`` is set once, by ``decide``."""
 
     def __init__(
         self, routing_request: RoutingRequest, exclude: frozenset[str], latest_unix_s: float
     ) -> None:
-        """Wait for a dispatch that still makes sense until ``latest_unix_s``."""
+        """Initialize without an outcome; a dispatch after ``latest_unix_s`` would be too late."""
         self.routing_request = routing_request
         self.exclude = exclude
         self.latest_unix_s = latest_unix_s
@@ -28,55 +28,57 @@
         self._decided = anyio.Event()
 
     def decide(self, outcome: Choice | Refusal) -> None:
-        """Tell the outcome."""
+        """Set the outcome and wake the waiting task."""
         self.outcome = outcome
         self._decided.set()
 
     async def decided(self) -> None:
-        """Wait until there is an outcome."""
+        """Wait until the outcome is set."""
         await self._decided.wait()
 
 
-class Shares:
-    """How far each account is ahead of its fair share, in tokens.
+class FairShares:
+    """How far each account exceeds its fair share, in tokens.
 
-    An account is remembered only while it is ahead of the slowest that waits.
+    An account is remembered only while it is ahead of the slowest waiting account.
     """
 
     def __init__(self) -> None:
-        """Start with everyone level."""
+        """Initialize with all accounts equal."""
         self._level = 0.0
-        self._ahead: dict[str, float] = {}
+        self._excess_tokens: dict[str, float] = {}
 
     def start(self, account: str) -> float:
-        """Return where the account's next request starts."""
-        return max(self._level, self._ahead.get(account, 0))
+        """Return the start tag of the account's next request."""
+        return max(self._level, self._excess_tokens.get(account, 0))
 
     def charge(self, account: str, tokens: int) -> None:
-        """Move an account ahead by the tokens of one request."""
+        """Advance an account by the tokens of one request."""
         start = self.start(account)
-        self._ahead[account] = start + tokens
+        self._excess_tokens[account] = start + tokens
 
-    def level(self, start: float) -> None:
-        """Raise the level that no account is behind."""
+    def raise_level(self, start: float) -> None:
+        """Raise the minimum start tag of all accounts."""
         self._level = max(self._level, start)
-        if self._ahead and min(self._ahead.values()) <= self._level:
-            self._ahead = {
-                account: ahead for account, ahead in self._ahead.items() if ahead > self._level
+        if self._excess_tokens and min(self._excess_tokens.values()) <= self._level:
+            self._excess_tokens = {
+                account: excess
+                for account, excess in self._excess_tokens.items()
+                if excess > self._level
             }
 
 
 class Queue:
-    """The waiting requests of one group of servers."""
+    """The waiting requests for one group of servers."""
 
     def __init__(self) -> None:
-        """Start empty."""
-        self.shares = Shares()
+        """Initialize with no requests."""
+        self.shares = FairShares()
         self._lines: dict[int, dict[str, deque[Waiting]]] = {}
         self._counts: dict[str, int] = {}
 
     def __len__(self) -> int:
-        """Count the waiting requests."""
+        """Return the number of waiting requests."""
         return sum(self._counts.values())
 
     def __iter__(self) -> Iterator[Waiting]:
@@ -86,18 +88,18 @@
                 yield from line
 
     def count(self, account: str) -> int:
-        """Count the waiting requests of an account."""
+        """Return the number of waiting requests of an account."""
         return self._counts.get(account, 0)
 
     def push(self, waiting: Waiting) -> None:
-        """Append a request to its account's line."""
+        """Append a request to the queue of its account."""
         account = waiting.routing_request.account
         lines = self._lines.setdefault(waiting.routing_request.priority, {})
         lines.setdefault(account, deque()).append(waiting)
         self._counts[account] = self.count(account) + 1
 
     def remove(self, waiting: Waiting) -> None:
-        """Take a request out; it must be waiting."""
+        """Remove a request, which must be waiting."""
         account = waiting.routing_request.account
         priority = waiting.routing_request.priority
         line = self._lines[priority][account]
@@ -111,18 +113,18 @@
             del self._counts[account]
 
     def take(self, waiting: Waiting) -> None:
-        """Take a request out because it is placed, and charge its account."""
+        """Remove a request that is placed, and charge its account."""
         routing_request = waiting.routing_request
-        self.shares.level(self.shares.start(routing_request.account))
+        self.shares.raise_level(self.shares.start(routing_request.account))
         self.shares.charge(
             routing_request.account, routing_request.prompt_tokens + routing_request.max_tokens
         )
         self.remove(waiting)
         if not self._counts:
-            self.shares = Shares()
+            self.shares = FairShares()
 
     def first(self) -> Waiting:
-        """Return who goes next: highest priority, then the account that is least ahead.
+        """Return the next request: highest priority, then the least advanced account.
 
         The queue must not be empty.
         """
@@ -130,22 +132,22 @@
         return lines[min(lines, key=self.shares.start)][0]
 
     def last(self) -> Waiting | None:
-        """Return who yields first: lowest priority, the longest line, its newest."""
+        """Return the request to displace first: lowest priority, longest queue, newest request."""
         if not self._lines:
             return None
         lines = self._lines[min(self._lines)]
         return max(lines.values(), key=len)[-1]
 
     def ahead_of(self, routing_request: RoutingRequest) -> int:
-        """Return how many are served before a newcomer.
+        """Return the number of requests that are served before a new one.
 
-        Of higher priorities all; of its own priority, from each account at
-        most as many as the newcomer's account has waiting.
+        These are all requests of higher priority and, at its own priority, from each account at
+        most as many as the new request's account has waiting, plus one.
         """
         higher = [
             lines for priority, lines in self._lines.items() if priority > routing_request.priority
         ]
         before = sum(len(line) for lines in higher for line in lines.values())
         own = self._lines.get(routing_request.priority, {})
-        mine = len(own.get(routing_request.account, ()))
-        return before + sum(min(len(line), mine + 1) for line in own.values())
+        own_waiting = len(own.get(routing_request.account, ()))
+        return before + sum(min(len(line), own_waiting + 1) for line in own.values())
--- a/packages/fleet/src/endivesaddle/fleet/routing/retries.py
+++ b/packages/fleet/src/endivesaddle/fleet/routing/retries.py
@@ -1,41 +1,40 @@
-"""The retry budget: retries are a share of successes, so they can't multiply an overload.
+"""Retry budgets: retries are a share of successes, so that they can't amplify an overload.
 
-Failure it prevents: servers slow down, requests fail, each is sent again, and
-the load doubles just when there is least capacity.  With a share of a tenth
-the load grows by a tenth at most.
+Failure it prevents: servers slow down, requests fail and are retried, and the load doubles while
+capacity is lowest.  With a share of 0.1 the load grows by 10 % at most.
 """
 
 from endivesaddle.fleet.routing.settings import RoutingSettings
 
-MOST = 10.0
-"""Retries that an account can save up."""
-AT_START = 3.0
-"""Retries that an account has before its first success."""
+MAX_SAVED = 10.0
+"""Maximum of retries that an account can save."""
+INITIAL = 3.0
+"""Retries of an account before its first success."""
 DIGITS = 6
-"""Ten tenths make one retry."""
+"""Balances are rounded to this many digits, so that ten times 0.1 is one retry."""
 
 
 class Retries:
     """Retry budgets of the client accounts."""
 
     def __init__(self, settings: RoutingSettings) -> None:
-        """Start each account with a few."""
+        """Initialize with no accounts."""
         self._share = settings.routing_retry_share
-        self._left: dict[str, float] = {}
+        self._balance: dict[str, float] = {}
 
     def succeeded(self, account: str) -> None:
-        """Add a share of a retry."""
-        left = self._left.get(account, AT_START) + self._share
-        self._left[account] = min(MOST, round(left, DIGITS))
+        """Credit an account with a share of a retry."""
+        balance = self._balance.get(account, INITIAL) + self._share
+        self._balance[account] = min(MAX_SAVED, round(balance, DIGITS))
 
     def spend(self, account: str) -> bool:
-        """Take one retry; False when there is none."""
-        left = self._left.get(account, AT_START)
-        if left < 1:
+        """Spend one retry; return False if there is none left."""
+        balance = self._balance.get(account, INITIAL)
+        if balance < 1:
             return False
-        self._left[account] = left - 1
+        self._balance[account] = balance - 1
         return True
 
     def __len__(self) -> int:
-        """Count the accounts that are remembered."""
-        return len(self._left)
+        """Return the number of remembered accounts."""
+        return len(self._balance)
