--- a/packages/fleet/src/endivesaddle/fleet/budgets/admission.py
+++ b/packages/fleet/src/endivesaddle/fleet/budgets/admission.py
@@ -117,9 +117,9 @@
         ledger = held.ledger(account)
         # Failure: the account is topped up and the next request follows immediately.
         # Symptom: the request is refused on a record from before the top-up.
-        fresh = held.seen_unix_s >= wait_interval.arrived_unix_s
+        record_is_recent = held.seen_unix_s >= wait_interval.arrived_unix_s
         fits = waiter.bound_tokens <= self.max_free_tokens(held, account)
-        if fresh and not fits:
+        if record_is_recent and not fits:
             return refusal(ledger, 'spent', f'{account}: the budget is spent')
         if not held.reachable and not fits and self._has_asked(ledger):
             # There may be a top-up that can't be read: don't report the budget as spent.
--- a/packages/fleet/src/endivesaddle/fleet/budgets/epoch_usage.py
+++ b/packages/fleet/src/endivesaddle/fleet/budgets/epoch_usage.py
@@ -56,11 +56,11 @@
         self.complete = False
         self.first_batch = 0
         self.runs: dict[str, dict[str, Run]] = {}
-        self.late: dict[tuple[str, str], int] = {}
+        self.late_settlements: dict[tuple[str, str], int] = {}
         self.received: dict[str, dict[str, DirectTransfer]] = {}
         self.given: dict[str, dict[str, int]] = {}
 
-    def learn(self, routers: Reports, sidecars: Reports, known_batch: int) -> None:
+    def merge(self, routers: Reports, sidecars: Reports, known_batch: int) -> None:
         """Merge the records about this epoch from one round of seals.
 
         The sidecars know all runs of batch ``known_batch`` and later ones.
@@ -74,17 +74,17 @@
         for record in sidecars:
             _of(runs, record).sidecars.append(record)
         for (account, request_key), reports in runs.items():
-            known = self.runs.setdefault(account, {})
-            if request_key not in known or not known[request_key].sure:
-                known[request_key] = _judge(reports, known_batch)
-        for (account, request_key), used_tokens in self.late.items():
+            account_runs = self.runs.setdefault(account, {})
+            if request_key not in account_runs or not account_runs[request_key].sure:
+                account_runs[request_key] = _run_from(reports, known_batch)
+        for (account, request_key), used_tokens in self.late_settlements.items():
             self.settle(account, request_key, used_tokens)
 
     def settle(self, account: str, request_key: str, used_tokens: int) -> int | None:
         """Bill a run of this epoch once; return the billed tokens, or None if it is unknown."""
         run = self.runs.get(account, {}).get(request_key)
         if run is None:
-            self.late[account, request_key] = used_tokens
+            self.late_settlements[account, request_key] = used_tokens
             return None
         if run.open:
             run = run._replace(tokens=min(used_tokens, run.tokens), open=False, sure=True)
@@ -107,10 +107,10 @@
         ended = not given and not any(run.open for run in counted)
         return Release(ceiling, min(tokens, ceiling) if ended else -1)
 
-    def drop_recorded(self, account: str, kept: dict[str, records.RecordedTransfer]) -> None:
+    def drop_recorded(self, account: str, recorded: dict[str, records.RecordedTransfer]) -> None:
         """Drop the given transfers that are now recorded in the store."""
         given = self.given.get(account, {})
-        for transfer_id in [known for known in given if known in kept]:
+        for transfer_id in [pending for pending in given if pending in recorded]:
             given.pop(transfer_id)
 
     def _add_transfer(self, record: holders_pb2.Record) -> None:
@@ -132,7 +132,7 @@
     return runs.setdefault((record.account, record.request_key), _Reports([], []))
 
 
-def _judge(reports: _Reports, known_batch: int) -> Run:
+def _run_from(reports: _Reports, known_batch: int) -> Run:
     everything = [*reports.routers, *reports.sidecars]
     batch = max(record.batch for record in everything)
     billed = [record.used_tokens for record in reports.routers if record.state == SETTLED]
--- a/packages/fleet/src/endivesaddle/fleet/budgets/holder.py
+++ b/packages/fleet/src/endivesaddle/fleet/budgets/holder.py
@@ -73,7 +73,7 @@
         async with anyio.create_task_group() as tasks:
             while True:
                 self._keep_own(tasks)
-                self._shard_manager.forget()
+                self._shard_manager.drop_old_epochs()
                 await anyio.sleep(self._settings.tick_s)
 
     async def reserve(
@@ -118,8 +118,8 @@
         held = self._held(account)
         if held is None:
             return self._elsewhere(account)
-        place = (held.shard, held.data_centre, held.epoch)
-        return Reserved(*place, held.batch, held.since_unix_s)
+        location = (held.shard, held.data_centre, held.epoch)
+        return Reserved(*location, held.batch, held.since_unix_s)
 
     def recovered(self, account: str) -> bool:
         """Return whether all claims under older epochs of the shard are known on this instance."""
--- a/packages/fleet/src/endivesaddle/fleet/budgets/ledger.py
+++ b/packages/fleet/src/endivesaddle/fleet/budgets/ledger.py
@@ -169,7 +169,7 @@
         self._settled_since_update = 0
         self.rate_tokens_per_s += _RATE_WEIGHT * (rate - self.rate_tokens_per_s)
 
-    def forget(self, before_unix_s: float, first_batch: int) -> None:
+    def drop_settled(self, before_unix_s: float, first_batch: int) -> None:
         """Drop settled requests that are old and already counted in the store."""
         old = [
             request_key
--- a/packages/fleet/src/endivesaddle/fleet/budgets/min_epochs.py
+++ b/packages/fleet/src/endivesaddle/fleet/budgets/min_epochs.py
@@ -34,14 +34,14 @@
 
 
 async def raise_min_epoch(
-    store: Store, clock: Clock, place: tuple[int, str], epoch: int, deadline_unix_s: float
+    store: Store, clock: Clock, location: tuple[int, str], epoch: int, deadline_unix_s: float
 ) -> None:
     """Raise the minimum epoch of a shard in a data centre; never lower it.
 
     Returns once the value is confirmed in the store; raises ``StoreUnreachable`` or
     ``RecordWriteUnconfirmed``.
     """
-    shard, data_centre = place
+    shard, data_centre = location
     key = f'{PREFIX}{shard}'
     while clock.now_s() < deadline_unix_s:
         stored = await store.read(key, deadline_unix_s)
--- a/packages/fleet/src/endivesaddle/fleet/budgets/records_store.py
+++ b/packages/fleet/src/endivesaddle/fleet/budgets/records_store.py
@@ -48,9 +48,9 @@
         shard: int,
         change: Change,
         deadline_unix_s: float,
-        known: Saved | None = None,
+        cached: Saved | None = None,
     ) -> Saved:
-        """Apply ``change`` and write the record, retrying; ``known`` saves the first read.
+        """Apply ``change`` and write the record, retrying; ``cached`` saves the first read.
 
         Each attempt applies ``change`` to the record read last.  It has to be idempotent,
         whether or not an earlier attempt took effect: a lost reply is resolved by reading
@@ -60,19 +60,19 @@
         attempt = _Attempt(shard)
         while True:
             with attempt:
-                saved = await self._attempt_update(shard, change, deadline_unix_s, known)
+                saved = await self._attempt_update(shard, change, deadline_unix_s, cached)
                 if saved is not None:
                     return saved
-            known = None
+            cached = None
             if self._clock.now_s() >= deadline_unix_s:
                 raise attempt.timeout_error()
             # A reply was lost or another write came first: don't add load to a slow store.
             await anyio.sleep(attempt.delay_s())
 
     async def _attempt_update(
-        self, shard: int, change: Change, deadline_unix_s: float, known: Saved | None
+        self, shard: int, change: Change, deadline_unix_s: float, cached: Saved | None
     ) -> Saved | None:
-        start = await self.read(shard, deadline_unix_s) if known is None else known
+        start = await self.read(shard, deadline_unix_s) if cached is None else cached
         # Keep the cached record equal to the stored one, also if this write fails.
         record = copy_record(start.record)
         if not change(record):
--- a/packages/fleet/src/endivesaddle/fleet/budgets/recovery.py
+++ b/packages/fleet/src/endivesaddle/fleet/budgets/recovery.py
@@ -41,11 +41,11 @@
 
     def fleet(self, servers: Sequence[str]) -> str:
         """Return the fingerprint of the sidecars that replied."""
-        known = [
+        members = [
             (reply.member.server, reply.seal.instance, reply.seal.incarnation)
             for reply in self.sidecars
         ]
-        return sidecars.fingerprint_of(known, servers)
+        return sidecars.fingerprint_of(members, servers)
 
     def held(self) -> set[HolderEpoch]:
         """Return the holder epochs that are still in the memory of a router that replied."""
@@ -94,10 +94,10 @@
 
     async def _raise_min_epoch(self, held: HeldShard) -> bool:
         deadline_unix_s = self._clock.now_s() + self._settings.store_timeout_s
-        place = (held.shard, held.data_centre)
+        location = (held.shard, held.data_centre)
         try:
             await min_epochs.raise_min_epoch(
-                self._store, self._clock, place, held.epoch, deadline_unix_s
+                self._store, self._clock, location, held.epoch, deadline_unix_s
             )
         except (StoreUnreachable, RecordWriteUnconfirmed, BadRecord) as error:
             events.STORE_FAILED.log(shard=held.shard, reason=str(error))
@@ -110,13 +110,13 @@
             self._update_usage(held, epoch, usage, replies)
         complete = all(past.complete for past in held.past_epochs.values())
         if self.claim_recovery is not None and not held.recovered:
-            known = [
+            claim_records = [
                 record
                 for reply in [*replies.routers, *replies.sidecars]
                 for record in reply.seal.records
                 if record.state not in epoch_usage.OWN_STATES
             ]
-            self.claim_recovery.adopt(held.shard, known, complete)
+            self.claim_recovery.adopt(held.shard, claim_records, complete)
         held.recovered = held.recovered or complete
 
     def _update_usage(
@@ -127,7 +127,7 @@
             usage.complete = True
             return
         known_batch = self._known_batch(past, replies)
-        usage.learn(
+        usage.merge(
             _relevant_records(usage, replies.routers),
             _relevant_records(usage, replies.sidecars),
             known_batch,
@@ -187,14 +187,14 @@
         # Past holders know most, so they are asked even if they have left the view.  This
         # instance may be one of them.
         own = self._identity
-        known = {member.instance: member for member in self._view.members('router')}
+        members = {member.instance: member for member in self._view.members('router')}
         own_member = members_pb2.Member(instance=own.instance, role=own.role, address=own.address)
-        known.setdefault(own.instance, own_member)
+        members.setdefault(own.instance, own_member)
         for name, past in held.saved.record['sealed'].items():
             if name.partition('/')[0] == held.data_centre:
                 member = members_pb2.Member(instance=past['instance'], address=past['address'])
-                known.setdefault(past['instance'], member)
-        return list(known.values())
+                members.setdefault(past['instance'], member)
+        return list(members.values())
 
     async def _ask(
         self,
--- a/packages/fleet/src/endivesaddle/fleet/budgets/releasing.py
+++ b/packages/fleet/src/endivesaddle/fleet/budgets/releasing.py
@@ -35,11 +35,11 @@
     before = list(budget['stranded'])
     budget['stranded'] = []
     for entry in before:
-        kept: records.Stranded | None = entry
+        entry_left: records.Stranded | None = entry
         if (entry.data_centre, entry.epoch) == usage.holder_epoch:
-            kept = _remaining_entry(budget, entry, account, usage)
-        if kept is not None:
-            budget['stranded'].append(kept)
+            entry_left = _remaining_entry(budget, entry, account, usage)
+        if entry_left is not None:
+            budget['stranded'].append(entry_left)
     return before != budget['stranded']
 
 
--- a/packages/fleet/src/endivesaddle/fleet/budgets/shard_manager.py
+++ b/packages/fleet/src/endivesaddle/fleet/budgets/shard_manager.py
@@ -83,10 +83,10 @@
         """Write the record of one shard and wake the requests that wait for headroom."""
         async with held.lock:
             now_unix_s = self._clock.now_s()
-            known = None if self._is_stale(held, now_unix_s) else held.saved
+            cached = None if self._is_stale(held, now_unix_s) else held.saved
             held.dirty = False
             update = ShardUpdate(held, self._settings, sidecars.fingerprint(self._view), now_unix_s)
-            await self._save(held, update, known)
+            await self._save(held, update, cached)
         held.notify_change()
 
     def seal(self, message: holders_pb2.SealRequest) -> list[holders_pb2.Record]:
@@ -104,7 +104,7 @@
                 report.extend(own_report(held))
         return report
 
-    def forget(self) -> None:
+    def drop_old_epochs(self) -> None:
         """Drop past epochs that no successor can ask about any more."""
         oldest_unix_s = self._clock.now_s() - self._settings.records_kept_s
         for key, ended_unix_s in list(self._ended_unix_s.items()):
@@ -149,11 +149,11 @@
         self.past_shards[key] = held
         self.held_shards[held.shard] = None
 
-    async def _save(self, held: HeldShard, update: ShardUpdate, known: Saved | None) -> None:
+    async def _save(self, held: HeldShard, update: ShardUpdate, cached: Saved | None) -> None:
         began_unix_s = self._clock.now_s()
         deadline_unix_s = began_unix_s + self._settings.store_timeout_s
         try:
-            saved = await self.records.update(held.shard, update, deadline_unix_s, known)
+            saved = await self.records.update(held.shard, update, deadline_unix_s, cached)
         except (EpochSuperseded, BadRecord) as error:
             self._stop(held, error)
         except StoreUnreachable as error:
@@ -165,7 +165,7 @@
         else:
             update.confirm(saved.record)
             # If there was nothing to write, the record was not read either.
-            if saved is not known:
+            if saved is not cached:
                 held.apply_saved(saved, began_unix_s)
 
     def _stop(self, held: HeldShard, error: FleetError) -> None:
--- a/packages/fleet/src/endivesaddle/fleet/budgets/shard_update.py
+++ b/packages/fleet/src/endivesaddle/fleet/budgets/shard_update.py
@@ -87,7 +87,7 @@
             ledger.offered = 0
             self._settle_fold(account, ledger)
             grant = record['budgets'][account]['grants'].get(held.data_centre, _NO_GRANT)
-            ledger.forget(self._now_unix_s - self._settings.records_kept_s, grant.batch)
+            ledger.drop_settled(self._now_unix_s - self._settings.records_kept_s, grant.batch)
         held.write_unconfirmed = False
         held.receivers = dict(record['holders'][held.data_centre]['others'])
         for epoch, usage in list(held.past_epochs.items()):
--- a/packages/fleet/src/endivesaddle/fleet/budgets/top_ups.py
+++ b/packages/fleet/src/endivesaddle/fleet/budgets/top_ups.py
@@ -73,9 +73,9 @@
     def __call__(self, record: records.ShardRecord) -> bool:
         budget = record['budgets'].setdefault(self._account, records.new_budget())
         if records.has_top_up(budget, self._id):
-            kept = budget['top_ups'].get(self._id, self._tokens)
-            if kept != self._tokens:
-                raise ChangeRejected(f'top-up {self._id} was made with {kept} tokens')
+            counted_tokens = budget['top_ups'].get(self._id, self._tokens)
+            if counted_tokens != self._tokens:
+                raise ChangeRejected(f'top-up {self._id} was made with {counted_tokens} tokens')
             # Found on a retry only: written by this call or a concurrent one with this id.
             self.repeated = not self._tried
             return False
