--- a/features/steps/budgets_faults_steps.py
+++ b/features/steps/budgets_faults_steps.py
@@ -1,4 +1,4 @@
-"""Steps of budgets.feature about what goes wrong, and what comes of it in the records."""
+"""Steps of budgets.feature for failures and their effects on the stored records."""
 
 from typing import Any
 
@@ -18,9 +18,9 @@
 PLACES = ('porto-a', 'porto-b')
 
 
-@when('the budget store loses the answers to {times:d} writes')
+@when('the budget store loses the replies to {times:d} writes')
 def lose(context: Any, times: int) -> None:
-    """Lose answers after the writes took effect."""
+    """Lose the replies to writes that take effect."""
     say(context, _lose, times)
 
 
@@ -28,15 +28,15 @@
     subject.fleet.store.lose_answers = fields[0]
 
 
-@when('the budget store goes down')
+@when('the budget store becomes unavailable')
 def store_down(context: Any) -> None:
-    """Take the store down."""
+    """Make the store unavailable."""
     say(context, _store, True)
 
 
-@when('the budget store comes back')
+@when('the budget store is available again')
 def store_back(context: Any) -> None:
-    """Bring the store back."""
+    """Make the store available again."""
     say(context, _store, False)
 
 
@@ -46,7 +46,7 @@
 
 @when('the budget store takes {seconds:g} seconds for each call')
 def store_slow(context: Any, seconds: float) -> None:
-    """Slow the store down."""
+    """Set the latency of the store."""
     say(context, _slow, seconds)
 
 
@@ -56,7 +56,7 @@
 
 @when('replies between the budget holders are lost')
 def lose_replies(context: Any) -> None:
-    """Lose replies between the two holders."""
+    """Drop the replies on the link between the two holders."""
     say(context, _lose_replies)
 
 
@@ -65,9 +65,9 @@
     subject.fleet.net.part(one, other, Fault.LOST_REPLY)
 
 
-@when('the budget store comes back and the links heal')
+@when('the budget store is available again and the links are restored')
 def recover(context: Any) -> None:
-    """Heal everything."""
+    """Make the store available and restore the links."""
     say(context, _store, False)
     say(context, _heal)
 
@@ -76,9 +76,9 @@
     subject.fleet.net.heal()
 
 
-@when('the budget holder of {place} is killed and seen gone')
+@when('the budget holder of {place} is killed and detected as failed')
 def kill(context: Any, place: str) -> None:
-    """Kill the holder."""
+    """Kill the holder and remove it from the view 1 s later."""
     say(context, _kill, place)
 
 
@@ -90,10 +90,11 @@
 
 
 @when(
-    'the budget holder of {place} is killed, seen gone and started again after {seconds:g} seconds'
+    'the budget holder of {place} is killed, detected as failed'
+    ' and restarted after {seconds:g} seconds'
 )
 def kill_for_a_while(context: Any, place: str, seconds: float) -> None:
-    """Kill the holder for a while."""
+    """Kill the holder, remove it from the view, and restart it."""
     say(context, _kill_for_a_while, place, seconds)
 
 
@@ -110,14 +111,14 @@
 
 @then('the budget shard of {place} is at epoch {epoch:d}')
 def at_epoch(context: Any, place: str, epoch: int) -> None:
-    """Compare the epoch in the store."""
+    """Check the epoch in the store."""
     record = record_format.decode(context.subject.play().notes['raw'])
     assert record['holders'][place]['epoch'] == epoch, record['holders']
 
 
-@when("the budget task of {place}'s holder is started again")
+@when('the budget task of the holder in {place} is restarted')
 def restart_task(context: Any, place: str) -> None:
-    """Break the background task off and start it anew."""
+    """Cancel the background task and start it again."""
     say(context, _restart_task, place)
 
 
@@ -141,9 +142,9 @@
             subject.fleet.start_sidecar(name, 2)
 
 
-@when('the budget holder of {place} is paused and seen gone')
+@when('the budget holder of {place} is paused and detected as failed')
 def pause(context: Any, place: str) -> None:
-    """Pause the holder."""
+    """Pause the holder and remove it from the view 1 s later."""
     say(context, _pause, place)
 
 
@@ -157,7 +158,7 @@
 
 @when('the budget holder of {place} leaves, and its successor reaches no sidecar')
 def hand_over(context: Any, place: str) -> None:
-    """Have a living holder replaced."""
+    """Replace a holder that is alive."""
     say(context, _hand_over, place)
 
 
@@ -169,35 +170,37 @@
     fleet.net.part({successor}, {f'{server}:1' for server in fleet.sidecars}, Fault.CUT)
 
 
-@when('the paused budget holder wakes')
-def wake(context: Any) -> None:
-    """Let the paused holder go on."""
-    say(context, _wake)
+@when('the paused budget holder resumes')
+def resume(context: Any) -> None:
+    """Resume the paused holder."""
+    say(context, _resume)
 
 
-async def _wake(subject: Budgets, fields: Any) -> None:
+async def _resume(subject: Budgets, fields: Any) -> None:
     subject.fleet.resume(subject.notes['paused'])
 
 
-@when('the paused budget holder wakes and grants {tokens:d} to a router that starts it')
-def wake_and_grant(context: Any, tokens: int) -> None:
-    """Have the woken holder grant before it learns anything."""
-    say(context, _wake_and_grant, tokens)
+@when('the paused budget holder resumes and grants {tokens:d} to a router that starts the run')
+def resume_and_grant(context: Any, tokens: int) -> None:
+    """Have the resumed holder grant a reservation before it receives any message."""
+    say(context, _resume_and_grant, tokens)
 
 
-async def _wake_and_grant(subject: Budgets, fields: Any) -> None:
+async def _resume_and_grant(subject: Budgets, fields: Any) -> None:
     fleet = subject.fleet
-    woken = fleet.routers[subject.notes['paused']]
-    work = Work(ACCOUNT, f'{ACCOUNT}/woken', fields[0], fields[0], 0.1, subject.now_s() + 5)
+    resumed = fleet.routers[subject.notes['paused']]
+    work = Work(ACCOUNT, f'{ACCOUNT}/resumed', fields[0], fields[0], 0.1, subject.now_s() + 5)
     fleet.truth.expect(work)
-    given = await woken.budgets.reserve(ACCOUNT, work.request_key, fields[0], subject.now_s() + 1)
-    assert isinstance(given, Reserved), given
+    reserved = await resumed.budgets.reserve(
+        ACCOUNT, work.request_key, fields[0], subject.now_s() + 1
+    )
+    assert isinstance(reserved, Reserved), reserved
     message = runs_pb2.StartRequest(
         request_key=work.request_key,
         account=ACCOUNT,
-        shard=given.shard,
-        data_centre=given.data_centre,
-        epoch=given.epoch,
+        shard=reserved.shard,
+        data_centre=reserved.data_centre,
+        epoch=reserved.epoch,
         bound_tokens=fields[0],
     )
     fleet.resume(subject.notes['paused'])
@@ -205,32 +208,32 @@
     subject.notes['starts'] = {reply.code for reply in starts}
 
 
-@then("the woken budget holder's request was refused by its sidecar")
+@then('the request of the resumed budget holder was refused by its sidecar')
 def refused_by_sidecar(context: Any) -> None:
-    """Every sidecar refuses the old epoch."""
+    """Check that every sidecar refuses the old epoch."""
     assert context.subject.play().notes['starts'] == {'epoch_sealed'}
 
 
 @when('the budget record becomes {fault}')
-def spoil(context: Any, fault: str) -> None:
-    """Spoil the record."""
-    say(context, _spoil, fault)
+def corrupt(context: Any, fault: str) -> None:
+    """Replace the record by an unusable one."""
+    say(context, _corrupt, fault)
 
 
-async def _spoil(subject: Budgets, fields: Any) -> None:
+async def _corrupt(subject: Budgets, fields: Any) -> None:
     record = await subject.record()
     if fields[0] == 'of a newer version':
         record['format'] = records.FORMAT + 1
     if fields[0] == 'over its budget':
         record['budgets'][ACCOUNT]['spent'] += 10**6
     raw = b'{"format": 1, "holders": ' if fields[0] == 'broken' else _json(record)
-    subject.notes['spoiled'] = raw
+    subject.notes['corrupt'] = raw
     await subject.write(raw)
 
 
-@when('the budget record is broken for {seconds:g} seconds and then as it was')
+@when('the budget record is broken for {seconds:g} seconds and then restored')
 def break_for_a_while(context: Any, seconds: float) -> None:
-    """Break the record, and repair it."""
+    """Replace the record by an unusable one and restore it later."""
     say(context, _break_for_a_while, seconds)
 
 
@@ -246,7 +249,7 @@
 
 
 @then('the budget record is still {fault}')
-def still_spoiled(context: Any, fault: str) -> None:
-    """Nothing was rewritten."""
+def still_corrupt(context: Any, fault: str) -> None:
+    """Check that the record was not rewritten."""
     notes = context.subject.play().notes
-    assert notes['raw'] == notes['spoiled'], (fault, notes['raw'])
+    assert notes['raw'] == notes['corrupt'], (fault, notes['raw'])
