--- a/features/custody.feature
+++ b/features/custody.feature
@@ -61,7 +61,7 @@
     Then all but a quarter of the headroom at the kill is spent
     And at most 300000 tokens are spent
 
-  Scenario: A router that did not notice that a sidecar was killed reports to its next incarnation at once
+  Scenario: A router that did not notice the kill of a sidecar reports to its next incarnation at once
     It did not call while the sidecar was down, and it has no reason to call before it is killed.
     Given 21 routers and 2 sidecars that share a total of 300000 tokens
     When all routers spend 1000 tokens in turn, 20 times a second for 4 seconds
--- a/packages/fleet/src/endivesaddle/fleet/routes/allocator_choice.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/allocator_choice.py
@@ -46,7 +46,7 @@
         self._ranked: dict[int, list[str]] = {}
 
     @property
-    def known(self) -> bool:
+    def loaded(self) -> bool:
         """Whether the list of instances has been loaded.
 
         Before that, each router would consider itself the allocator of all accounts, and hold an
--- a/packages/fleet/src/endivesaddle/fleet/routes/grants.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/grants.py
@@ -43,7 +43,7 @@
 LOWER_ABOVE = 1.6
 """A grant is lowered when more than this many times the headroom is left."""
 RATE_WINDOW_S = 8.0
-"""An account's rate of use is the sum of the worst cases admitted within this time."""
+"""An account's rate of use is averaged over the worst cases admitted within this time."""
 MIN_RATE_WINDOW_S = 2.0
 """Use that has just begun is averaged over at least this time."""
 
--- a/packages/fleet/src/endivesaddle/fleet/routes/prepaid_pools.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/prepaid_pools.py
@@ -93,7 +93,7 @@
     async def run(self) -> None:
         """Check the pools until cancelled."""
         while True:
-            if self._parts.choice.known:
+            if self._parts.choice.loaded:
                 await self.check()
             if self.releasing:
                 await anyio.sleep(LEAVING_CHECK_S)
