--- a/packages/backend_servers/src/endivesaddle/backend_servers/clients.py
+++ b/packages/backend_servers/src/endivesaddle/backend_servers/clients.py
@@ -1,4 +1,4 @@
-"""Clients of backend servers by kind."""
+"""Registry of the clients of backend servers, by kind."""
 
 from collections.abc import Callable
 
@@ -10,10 +10,10 @@
 from endivesaddle.fleet.interfaces import BackendServerClient
 from endivesaddle.fleet.registry import Registry
 
-Maker = Callable[
+ClientFactory = Callable[
     [BackendSettings, BackendServer, Clock, httpx.AsyncBaseTransport | None], BackendServerClient
 ]
-KINDS: Registry[Maker] = Registry('kind of backend server')
+KINDS: Registry[ClientFactory] = Registry('kind of backend server')
 
 
 def client_for(
@@ -22,5 +22,5 @@
     clock: Clock,
     transport: httpx.AsyncBaseTransport | None = None,
 ) -> BackendServerClient:
-    """Return a client of a backend server; raises ``UserError`` for an unknown kind."""
+    """Return a client of a backend server; raise ``UserError`` for an unknown kind."""
     return KINDS.find(server.kind)(settings, server, clock, transport)
--- a/packages/backend_servers/src/endivesaddle/backend_servers/connection_pool.py
+++ b/packages/backend_servers/src/endivesaddle/backend_servers/connection_pool.py
@@ -1,7 +1,7 @@
-"""Kept connections to the servers that requests are forwarded to, byte for byte.
+"""Pool of connections to the servers to which requests are forwarded unchanged.
 
-Each server has its own idle connections; the one used last is used first, so that the fewest
-stay open.
+Each server has its own idle connections.  The most recently used one is reused first, so that as
+few as possible stay open.
 """
 
 import asyncio
@@ -20,16 +20,17 @@
 Connect = Callable[[str], Awaitable[ServerConnection]]
 
 IDLE_S = 3.0
-"""An idle connection is used again for so long where its server does not say how long it stays."""
+"""Idle time-out of a connection if its server does not state one."""
 CLOSE_MARGIN_S = 0.5
-"""Of the time that a server says, the last is not used: a request must not meet its closing."""
+"""Margin subtracted from a server's keep-alive time, so that a request is not sent while the
+server closes the connection."""
 BODILESS = 'HEAD'
 
 
 class OutgoingRequest(NamedTuple):
-    """A request as it is sent: target and headers are bytes as they came.
+    """A request to send; target and headers are the bytes that were received.
 
-    ``may_send`` is asked right before: does the server still take requests?
+    ``may_send`` is called right before sending: does the server still accept requests?
     """
 
     method: str
@@ -39,23 +40,23 @@
     may_send: Callable[[], bool]
 
     def encoded(self) -> bytes:
-        """Return its bytes; raises ``NeverSent`` for a header that would end its line early."""
+        """Return its bytes; raise ``NeverSent`` if a header contains a line break."""
         lines = [f'{self.method} {self.target} HTTP/1.1'.encode('latin-1')]
         lines.extend(b'%s: %s' % pair for pair in self.headers)
         head = b'\r\n'.join(lines)
         breaks = len(lines) - 1
         if (head.count(b'\n'), head.count(b'\r'), head.count(b'\0')) != (breaks, breaks, 0):
-            raise NeverSent('a header holds the end of a line')
+            raise NeverSent('a header contains a line break or a null byte')
         return b'%s\r\n\r\n%s' % (head, self.body)
 
 
 class ConnectionPool:
-    """Idle connections by server; one life of a server shares nothing with the next."""
+    """Idle connections by server; incarnations of a server share no connections."""
 
     def __init__(self, connect_to: Connect = connect, idle_s: float = IDLE_S) -> None:
-        """Start without any; ``connect_to`` makes them, tests without sockets.
+        """Initialize empty; ``connect_to`` opens connections, in tests without sockets.
 
-        ``idle_s`` counts where a server does not say how long it keeps a connection.
+        ``idle_s`` applies if a server does not say how long it keeps a connection.
         """
         self._connect = connect_to
         self._idle_s = idle_s
@@ -66,19 +67,19 @@
     async def exchange(
         self, lifetime: str, address: str, request: OutgoingRequest
     ) -> AsyncIterator[RawResponse]:
-        """Send a request and give its answer; the connection is kept if both ended well.
+        """Send a request and yield its response; a connection in a clean state is kept.
 
-        Raises ``NeverSent`` where the server did not get it, ``ServerLost``
-        where it may have run.
+        Raises ``NeverSent`` if the server did not get the request, ``ServerLost`` if it may have
+        run.
         """
         encoded = request.encoded()
         connection = await self._acquire(lifetime, address)
         try:
-            # Looked at again when the connection is there, which may take a second.
-            # Failure: the server was chosen in time, left or asked for nothing meanwhile, and
-            # got the request up to 1 s after it should have had none.
+            # Checked again after connecting, which may take a second.  Failure: the server
+            # announced meanwhile that it leaves or rejects requests, and got the request up
+            # to 1 s after that.
             if not request.may_send():
-                raise ServerLeft('the server takes no more requests')
+                raise ServerLeft('the server accepts no more requests')
             response = connection.send(encoded, request.method == BODILESS)
             await response.head()
             yield response
@@ -86,7 +87,7 @@
             self._release(lifetime, connection)
 
     async def check(self, lifetime: str, address: str) -> None:
-        """Connect, and keep the connection; raises ``NeverSent``, also as ``ServerRefused``."""
+        """Connect and keep the connection; raise ``NeverSent`` or ``ServerRefused`` on errors."""
         self._release(lifetime, await self._open(address))
 
     def drop(self, lifetime: str) -> None:
@@ -114,8 +115,12 @@
 
     def _release(self, lifetime: str, connection: ServerConnection) -> None:
         if connection.idle():
-            stays_s = connection.kept_s - CLOSE_MARGIN_S if connection.kept_s else self._idle_s
-            connection.idle_until_s = asyncio.get_running_loop().time() + stays_s
+            idle_s = (
+                connection.keep_alive_s - CLOSE_MARGIN_S
+                if connection.keep_alive_s
+                else self._idle_s
+            )
+            connection.idle_until_s = asyncio.get_running_loop().time() + idle_s
             self._idle.setdefault(lifetime, []).append(connection)
         else:
             connection.abort()
--- a/packages/backend_servers/src/endivesaddle/backend_servers/engine.py
+++ b/packages/backend_servers/src/endivesaddle/backend_servers/engine.py
@@ -1,4 +1,4 @@
-"""Client of a model engine that speaks the OpenAI API."""
+"""Client of a model engine with the OpenAI API."""
 
 from collections.abc import AsyncIterator
 from typing import Any
@@ -22,27 +22,26 @@
 
 
 class EngineRequest:
-    """A caller's body as the engine gets it.
+    """A caller's request body as sent to the engine.
 
-    The limit of the answer is always written out: an engine's own default might
-    generate beyond the reservation.  The priority is the fleet's, never the
-    caller's own.
+    The token limit is always explicit: an engine's default might generate beyond the reservation.
+    The priority is set by the fleet, never by the caller.
     """
 
     def __init__(self, message: runs_pb2.StartRequest) -> None:
-        """Raise ``NeverSent`` for a body that no engine could read."""
+        """Decode the body of a request; raise ``NeverSent`` if it is not a JSON object."""
         try:
             self.body: dict[str, Any] = msgspec.json.decode(message.body, type=dict[str, Any])
         except msgspec.DecodeError as error:
             raise NeverSent(f'the body is not a JSON object: {error}') from error
         self.stream = self.body.get('stream') is True
-        self.choices = max(1, _whole(self.body.get('n')))
+        self.choices = max(1, _integer(self.body.get('n')))
         self.usage_wanted = self._wants_usage()
         self._limit(message)
         self.body['priority'] = message.priority
 
     def encoded(self) -> bytes:
-        """Return the body to send."""
+        """Return the encoded body."""
         return msgspec.json.encode(self.body)
 
     def _wants_usage(self) -> bool:
@@ -56,12 +55,12 @@
         names = [name for name in ('max_tokens', 'max_completion_tokens') if self.body.get(name)]
         limit_tokens = message.max_tokens or message.bound_tokens
         for name in names or ('max_tokens',):
-            self.body[name] = min(_whole(self.body.get(name)) or limit_tokens, limit_tokens)
+            self.body[name] = min(_integer(self.body.get(name)) or limit_tokens, limit_tokens)
 
 
 @KINDS.add('engine')
 class EngineClient(EngineControl):
-    """Runs requests on one engine and relays its answers event by event."""
+    """Runs requests on one engine and relays its responses event by event."""
 
     def __init__(
         self,
@@ -70,14 +69,14 @@
         clock: Clock,
         transport: httpx.AsyncBaseTransport | None = None,
     ) -> None:
-        """Reach the engine at the server's declared address."""
+        """Connect to the engine at the server's declared address."""
         super().__init__(settings, Link(settings, server.url, clock, transport), clock)
 
     async def run(self, message: runs_pb2.StartRequest) -> AsyncIterator[EngineEvent]:
-        """Send a request and yield its answer; closing cancels it at the engine.
+        """Send a request and yield its response; closing the iterator cancels it on the engine.
 
-        An engine takes the end of the connection as the cancel.  Events with data
-        carry the count of tokens so far, for a run that is broken off.
+        An engine cancels a request when its connection closes.  Events with data carry the token
+        count so far, for a run that is interrupted.
         """
         wanted = EngineRequest(message)
         headers = (
@@ -105,8 +104,8 @@
         return self._relay_error(response)
 
     def _first_byte_unix_s(self, message: runs_pb2.StartRequest, wanted: EngineRequest) -> float:
-        # An answer that isn't streamed comes as a whole when all is generated: its
-        # silence can't be told from work, so only the caller's deadline bounds it.
+        # A response that isn't streamed arrives when all tokens are generated.  Until then
+        # a hang looks the same as work, so that only the caller's deadline limits the wait.
         soon_unix_s = self.clock.now_s() + self.settings.first_byte_s
         return soon_unix_s if wanted.stream else max(soon_unix_s, message.deadline_unix_s)
 
@@ -124,9 +123,9 @@
                 if text == DONE:
                     yield EngineEvent(data=event, ended=True, used_tokens=meter.reported_tokens)
                     return
-                if _passes(text, meter, usage_wanted):
+                if _is_relayed(text, meter, usage_wanted):
                     yield EngineEvent(data=event, used_tokens=meter.so_far_tokens)
-        # An answer without its last event was cut: the engine died.
+        # A response without its last event was cut off: the engine crashed.
         raise ServerLost('the stream ended without its last event')
 
     async def _relay_whole(
@@ -136,7 +135,7 @@
         try:
             meter.take(parse_piece(body))
         except ValueError as error:
-            raise ServerLost(f'the answer is not what an engine sends: {error}') from error
+            raise ServerLost(f'the response is not valid for an engine: {error}') from error
         yield EngineEvent(data=body, used_tokens=meter.so_far_tokens)
         yield EngineEvent(ended=True, used_tokens=meter.reported_tokens)
 
@@ -149,26 +148,25 @@
         async for piece in self.link.pieces(response, self.settings.silence_s):
             body += piece
             if len(body) > self.settings.body_bytes:
-                raise ServerLost(f'the answer is longer than {self.settings.body_bytes} bytes')
+                raise ServerLost(f'the response is longer than {self.settings.body_bytes} bytes')
         return bytes(body)
 
 
-def _whole(value: Any) -> int:
-    """Return a whole number of a caller's body, 0 for anything else."""
+def _integer(value: Any) -> int:
+    """Return an integer from a caller's body, 0 for any other type."""
     return value if isinstance(value, int) else 0
 
 
-def _passes(text: bytes, meter: Meter, usage_wanted: bool) -> bool:
-    """Count an event; tell whether the caller gets it.
+def _is_relayed(text: bytes, meter: Meter, usage_wanted: bool) -> bool:
+    """Count an event's tokens; return whether to relay it to the caller.
 
-    The usage-only event that was asked for on the fleet's behalf is left out
-    unless the caller asked for it too.
+    The usage-only event that the fleet requests is dropped unless the caller requested it too.
     """
     if not text:
         return True
     try:
         piece = parse_piece(text)
     except ValueError as error:
-        raise ServerLost(f'an event is not what an engine sends: {error}') from error
+        raise ServerLost(f'an event is not valid for an engine: {error}') from error
     meter.take(piece)
     return usage_wanted or bool(piece.choices) or piece.usage is None
--- a/packages/backend_servers/src/endivesaddle/backend_servers/engine_control.py
+++ b/packages/backend_servers/src/endivesaddle/backend_servers/engine_control.py
@@ -14,7 +14,7 @@
 
 
 class LoadReport(msgspec.Struct):
-    """What ``GET /load?after=N`` answers; docs/SIDECAR.md describes it.
+    """The response to ``GET /load?after=N``; see docs/SIDECAR.md.
 
     ``cached_prefixes`` and ``evicted_prefixes`` are the changes after cache
     event N, ``cache_event`` is the number of the last of them.
@@ -33,7 +33,7 @@
 
 
 class OrderAnswer(msgspec.Struct):
-    """What ``POST /orders`` answers."""
+    """The response to ``POST /orders``."""
 
     done: bool = False
     code: str = ''
@@ -42,17 +42,17 @@
 
 
 class EngineControl:
-    """The part of an engine's client that is not about requests."""
+    """The part of an engine's client that handles load reports and orders."""
 
     def __init__(self, settings: BackendSettings, link: Link, clock: Clock) -> None:
-        """Speak over ``link``."""
+        """Send over ``link``."""
         self.settings = settings
         self.link = link
         self.clock = clock
         self._cache_event = 0
 
     async def load(self) -> runs_pb2.Load:
-        """Return the engine's own load report; raises ``ServerLost``."""
+        """Return the engine's own load report; raise ``ServerLost`` if there is none."""
         request = self.link.build('GET', f'/load?after={self._cache_event}', (), b'')
         deadline_unix_s = self.clock.now_s() + self.settings.report_s
         try:
@@ -64,14 +64,14 @@
         try:
             report = msgspec.json.decode(body, type=LoadReport)
         except msgspec.DecodeError as error:
-            raise ServerLost(f'the load report can not be read: {error}') from error
+            raise ServerLost(f'the load report is not valid: {error}') from error
         self._cache_event = report.cache_event
         return runs_pb2.Load(**msgspec.structs.asdict(report))
 
     async def order(self, message: runs_pb2.OrderRequest) -> runs_pb2.OrderReply:
-        """Give the engine an order with its fencing number.
+        """Send the engine an order with its fencing number.
 
-        Raises ``NeverSent``, or ``ServerLost`` where it may have been carried out.
+        Raises ``NeverSent``, or ``ServerLost`` if the order may have been executed.
         """
         headers = (('content-type', 'application/json'), ('x-fence', str(message.fence)))
         body = msgspec.json.encode(
@@ -102,5 +102,5 @@
             async for piece in self.link.pieces(response, self.settings.report_s):
                 body += piece
                 if len(body) > self.settings.body_bytes:
-                    raise ServerLost('the answer is too long')
+                    raise ServerLost('the response is too long')
             return response.status_code, bytes(body)
--- a/packages/backend_servers/src/endivesaddle/backend_servers/forward_client.py
+++ b/packages/backend_servers/src/endivesaddle/backend_servers/forward_client.py
@@ -1,4 +1,4 @@
-"""Send forwarded requests: what a server is told beside what the caller sent."""
+"""HTTP client of forwarded requests, which adds the router's own headers."""
 
 from collections.abc import AsyncIterator, Mapping
 from contextlib import asynccontextmanager
@@ -14,7 +14,7 @@
 from endivesaddle.fleet.routes.header_names import HOP_BY_HOP, LENGTH, HeaderNames
 
 EVENT_BYTES = 1 << 20
-"""The longest event of a stream that is passed on."""
+"""Maximum size of a relayed event."""
 MISDIRECTED = 421
 SUCCESSES = range(200, 300)
 ENCODING = 'content-encoding'
@@ -23,10 +23,10 @@
 
 
 class ForwardedResponse:
-    """A server's answer, with the header names of one platform."""
+    """A server's response, with the header names of one platform."""
 
     def __init__(self, response: RawResponse, call: ServerCall, header_names: HeaderNames) -> None:
-        """Take a response whose body is unread."""
+        """Read the headers of a response; its body is not read yet."""
         pairs = [
             (name.decode('latin-1').lower(), value.decode('latin-1'))
             for name, value in response.headers
@@ -42,13 +42,13 @@
         }
         self.misdirected = response.status == MISDIRECTED
         echoed = named.get(header_names.request_id, '')
-        # A body that was encoded on the way is not the server's: no caller asked for it.
+        # No caller requests an encoding: an encoded body was changed on the way.
         self.own = echoed == call.request.request_id and ENCODING not in named
         self.sealed = header_names.seal in named
         self._response = response
 
     async def events(self) -> AsyncIterator[bytes]:
-        """Yield whole events; ``ServerLost`` where the stream ends within one."""
+        """Yield complete events; raise ``ServerLost`` if the stream ends within one."""
         splitter = EventSplitter(EVENT_BYTES)
         try:
             async for chunk in self._response.chunks():
@@ -60,12 +60,12 @@
             raise ServerLost('the stream ended within an event')
 
     async def whole(self) -> bytes:
-        """Return the whole body; ``ServerLost`` where it ends early."""
+        """Return the complete body; raise ``ServerLost`` if it ends early."""
         return b''.join([chunk async for chunk in self._response.chunks()])
 
 
 class ForwardClient:
-    """Sends calls over kept connections."""
+    """Sends requests over pooled connections."""
 
     def __init__(self, pool: ConnectionPool, header_names: HeaderNames, clock: Clock) -> None:
         """Use ``header_names`` for the names of headers."""
@@ -76,10 +76,10 @@
 
     @asynccontextmanager
     async def exchange(self, call: ServerCall) -> AsyncIterator[ForwardedResponse]:
-        """Send a request and give its answer.
+        """Send a request and yield its response.
 
-        Raises ``NeverSent`` where the server did not get it, ``ServerLost``
-        where it may have run.
+        Raises ``NeverSent`` if the server did not get the request, ``ServerLost`` if it may have
+        run.
         """
         request = call.request
         headers = self._headers(call)
@@ -91,9 +91,9 @@
             yield answer
 
     async def check(self, server: RouteServer) -> None:
-        """Connect to a server; the connection is kept for the next request.
+        """Connect to a server; the connection stays in the pool for the next request.
 
-        Raises ``ServerRefused`` where nobody listens, ``NeverSent`` where that can't be told.
+        Raises ``ServerRefused`` if the server refuses connections, ``NeverSent`` on other errors.
         """
         await self.pool.check(server.lifetime, server.address)
 
--- a/packages/backend_servers/src/endivesaddle/backend_servers/kinds.py
+++ b/packages/backend_servers/src/endivesaddle/backend_servers/kinds.py
@@ -1,4 +1,4 @@
-"""The clients by kind of backend server; importing this fills their registry."""
+"""Import all clients of backend servers, which adds them to the registry."""
 
 from endivesaddle.backend_servers import engine, service
 from endivesaddle.backend_servers.clients import client_for
--- a/packages/backend_servers/src/endivesaddle/backend_servers/server_connection.py
+++ b/packages/backend_servers/src/endivesaddle/backend_servers/server_connection.py
@@ -1,7 +1,7 @@
-"""One HTTP/1.1 connection to a backend server; ``httptools`` takes its answers apart.
+"""One HTTP/1.1 connection to a backend server, with responses parsed by ``httptools``.
 
-``httptools`` is the compiled parser that also serves callers here.  With ``httpcore``, whose
-parser is Python, a router took 0.32 ms for each event of a stream, two thirds of it on this side
+``httptools`` is the compiled parser that is also used for callers.  With ``httpcore``, whose parser
+is written in Python, a router took 0.32 ms per event of a stream, two thirds of it on this side
 (``tools/bench forward``).  A connection carries one request at a time.
 """
 
@@ -16,17 +16,17 @@
 from endivesaddle.fleet.interfaces import NeverSent, ServerLost, ServerRefused
 
 CONNECT_S = 1.0
-"""A connection that takes longer counts as refused: neighbours answer in milliseconds."""
+"""Connect time-out: neighbours answer within milliseconds."""
 UNACKED_MS = 1200
-"""Sent bytes that stay unacknowledged for longer break the connection.
+"""Time-out of unacknowledged data, after which the connection breaks.
 
-Failure: a connection goes silent for good, and what was sent on it hangs until
-the request's deadline.  Lost packets are sent again within 0.2 to 0.6 s, so that
-a link with losses keeps its connections."""
+Failure: a connection stops passing packets without an error, and its request hangs until the
+deadline.  Lost packets are retransmitted within 0.2 to 0.6 s, so that connections survive on a link
+with packet loss."""
 PROBE_S = 1
-"""A connection that waits for an answer is probed each second, and broken by two misses."""
-HELD_BYTES = 1 << 16
-"""What waits for a slow caller before the server is read no more."""
+"""Keep-alive probe interval while a connection waits; two lost probes break it."""
+MAX_BUFFERED_BYTES = 1 << 16
+"""Maximum of buffered bytes for a slow caller; beyond it reading from the server pauses."""
 
 _SOCKET_OPTIONS = (
     (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKED_MS),
@@ -38,16 +38,16 @@
 
 
 class ServerConnection(asyncio.Protocol):
-    """One connection; ``idle_until_s`` is how long it may be used again, by the loop's clock."""
+    """One connection; it may be reused until ``idle_until_s`` on the clock of the event loop."""
 
     def __init__(self) -> None:
-        """Wait for the transport."""
+        """Initialize without a transport."""
         self.idle_until_s = 0.0
         self._transport: asyncio.Transport | None = None
         self._answer: RawResponse | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport, and bound how long it may be silent."""
+        """Store the transport, and set its socket time-outs."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         raw = transport.get_extra_info('socket')
@@ -56,26 +56,26 @@
                 raw.setsockopt(level, option, number)
 
     def data_received(self, data: bytes) -> None:
-        """Pass bytes to the answer that is waited for."""
+        """Pass received bytes to the current response."""
         if self._answer is None or self._answer.parser.complete:
-            # Nobody waits for these: a late second answer, or bytes that are none.
+            # Unexpected data: a late second response or stray bytes.
             self.abort()
         else:
             self._answer.take(data)
 
     def eof_received(self) -> None:
-        """Take the end of what the server sends; the transport then closes itself."""
+        """Handle the end of the server's data; the transport then closes itself."""
         if self._answer is not None:
             self._answer.end()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """End the answer that is waited for."""
+        """Fail the current response."""
         self._transport = None
         if self._answer is not None:
             self._answer.fail(f'{type(exc).__name__} {exc}' if exc else 'the connection closed')
 
     def send(self, request: bytes, bodiless: bool) -> 'RawResponse':
-        """Send the bytes of a request; its answer is read by what is returned."""
+        """Send the bytes of a request and return its response."""
         if self._transport is None:
             raise NeverSent('the connection closed')
         self._answer = RawResponse(self._transport, AnswerParser(bodiless))
@@ -83,10 +83,10 @@
         return self._answer
 
     def idle(self) -> bool:
-        """Tell whether another request may be sent: the last answer ended, and nothing came since.
+        """Return whether another request may be sent: the last response ended without extra data.
 
-        The socket itself is asked too: a server's word that it closes the connection may lie there
-        unread, and a request sent after it would be lost.
+        The socket is checked too: the server's close may be unread in its buffer, and a request
+        sent after it would be lost.
         """
         if self._transport is None or self._transport.is_closing():
             return False
@@ -96,21 +96,21 @@
         return raw is None or not _readable(raw.fileno())
 
     @property
-    def kept_s(self) -> int:
-        """How long the server says that it keeps the connection while idle; 0 if it doesn't."""
-        return 0 if self._answer is None else self._answer.parser.kept_s
+    def keep_alive_s(self) -> int:
+        """Seconds for which the server keeps an idle connection, 0 if not given."""
+        return 0 if self._answer is None else self._answer.parser.keep_alive_s
 
     def abort(self) -> None:
-        """Close it at once: what is still to be sent is for nobody."""
+        """Close the connection at once and discard unsent data."""
         if self._transport is not None:
             self._transport.abort()
 
 
 class RawResponse:
-    """The answer to one request: its head, and its body as it arrives."""
+    """The response to one request: its headers, and its body as it arrives."""
 
     def __init__(self, transport: asyncio.Transport, parser: AnswerParser) -> None:
-        """Read what ``transport`` brings."""
+        """Read the response from ``transport``."""
         self.parser = parser
         self._transport = transport
         self._failure = ''
@@ -119,23 +119,23 @@
 
     @property
     def status(self) -> int:
-        """The status of an answer whose head is there."""
+        """The status, once the headers have been received."""
         return self.parser.status
 
     @property
     def headers(self) -> list[tuple[bytes, bytes]]:
-        """The headers of an answer whose head is there."""
+        """The headers, once they have been received."""
         return self.parser.headers
 
     async def head(self) -> None:
-        """Return when the head is there; raises ``ServerLost``."""
-        await self._until(self._begun)
+        """Wait for the headers; raise ``ServerLost`` if the connection breaks."""
+        await self._until(self._has_headers)
 
     async def chunks(self) -> AsyncIterator[bytes]:
-        """Yield the body as it arrives; raises ``ServerLost`` where it ends early."""
+        """Yield the body as it arrives; raise ``ServerLost`` if it ends early."""
         while True:
-            await self._until(self._more)
-            data = self.parser.taken()
+            await self._until(self._has_data)
+            data = self.parser.take_body()
             if not data:
                 return
             if self._paused:
@@ -144,36 +144,36 @@
             yield data
 
     def take(self, data: bytes) -> None:
-        """Parse bytes of the answer."""
+        """Parse received bytes of the response."""
         self._failure = self._failure or self.parser.feed(data)
-        if self.parser.held_bytes > HELD_BYTES and not self._paused:
+        if self.parser.buffered_bytes > MAX_BUFFERED_BYTES and not self._paused:
             self._paused = True
             self._transport.pause_reading()
         self._wake()
 
     def end(self) -> None:
-        """Take the end of the connection, which ends an answer without a length."""
+        """Handle the end of the connection, which ends a response without a length."""
         if not self.parser.end():
             self.fail('the connection closed')
         self._wake()
 
     def fail(self, reason: str) -> None:
-        """End an answer that is not whole."""
+        """Fail an incomplete response."""
         self._failure = self._failure or reason
         self._wake()
 
-    async def _until(self, there: Callable[[], bool]) -> None:
-        while not there():
+    async def _until(self, condition: Callable[[], bool]) -> None:
+        while not condition():
             if self._failure:
                 raise ServerLost(self._failure)
             self._waiter = asyncio.get_running_loop().create_future()
             await self._waiter
 
-    def _begun(self) -> bool:
-        return self.parser.has_head
+    def _has_headers(self) -> bool:
+        return self.parser.has_headers
 
-    def _more(self) -> bool:
-        return self.parser.held_bytes > 0 or self.parser.complete
+    def _has_data(self) -> bool:
+        return self.parser.buffered_bytes > 0 or self.parser.complete
 
     def _wake(self) -> None:
         if self._waiter is not None and not self._waiter.done():
@@ -181,7 +181,7 @@
 
 
 async def connect(address: str, within_s: float = CONNECT_S) -> ServerConnection:
-    """Connect to "ip:port"; raises ``NeverSent``, ``ServerRefused`` where nobody listens."""
+    """Connect to "ip:port"; raise ``ServerRefused`` if refused, else ``NeverSent`` on errors."""
     host, _, port = address.rpartition(':')
     loop = asyncio.get_running_loop()
     try:
--- a/packages/backend_servers/src/endivesaddle/backend_servers/service.py
+++ b/packages/backend_servers/src/endivesaddle/backend_servers/service.py
@@ -1,4 +1,4 @@
-"""Client of a plain service: what comes in goes through, at a fixed cost."""
+"""Client of a plain service, which relays calls unchanged at a fixed cost."""
 
 from collections.abc import AsyncIterator
 
@@ -12,13 +12,13 @@
 from endivesaddle.fleet.interfaces import EngineEvent
 from endivesaddle.wire import runs_pb2
 
-NOT_OURS = frozenset(('authorization', 'idempotency-key', 'x-request-id'))
-"""Headers of the caller that are the fleet's business or are written anew."""
+NOT_RELAYED = frozenset(('authorization', 'idempotency-key', 'x-request-id'))
+"""Headers of the caller that are for the fleet only or are replaced."""
 
 
 @KINDS.add('service')
 class ServiceClient:
-    """Passes calls to one plain service."""
+    """Relays calls to one plain service."""
 
     def __init__(
         self,
@@ -27,17 +27,17 @@
         clock: Clock,
         transport: httpx.AsyncBaseTransport | None = None,
     ) -> None:
-        """Reach the service at the server's declared address."""
+        """Connect to the service at the server's declared address."""
         self._settings = settings
         self._clock = clock
         self._link = Link(settings, server.url, clock, transport)
 
     async def run(self, message: runs_pb2.StartRequest) -> AsyncIterator[EngineEvent]:
-        """Pass a call and yield its answer; the call costs ``cost_tokens``."""
+        """Relay a call and yield its response; the call costs ``cost_tokens``."""
         headers = [
             (header.name, header.value)
             for header in message.headers
-            if header.name.lower() not in NOT_OURS
+            if header.name.lower() not in NOT_RELAYED
         ]
         headers.append(('x-request-id', message.request_key))
         headers.append(('x-attempt', str(message.attempt)))
@@ -57,12 +57,12 @@
             yield EngineEvent(ended=True, used_tokens=message.cost_tokens)
 
     async def load(self) -> runs_pb2.Load:
-        """Return an empty report: a plain service tells nothing of its load."""
+        """Return an empty report, since a plain service does not report its load."""
         return runs_pb2.Load()
 
     async def order(self, message: runs_pb2.OrderRequest) -> runs_pb2.OrderReply:
-        """Refuse: a plain service takes no orders."""
-        return runs_pb2.OrderReply(code='no_orders', reason='a plain service takes no orders')
+        """Refuse the order: a plain service accepts no orders."""
+        return runs_pb2.OrderReply(code='no_orders', reason='a plain service accepts no orders')
 
     async def close(self) -> None:
         """Close the connections."""
--- a/packages/backend_servers/src/endivesaddle/backend_servers/sse.py
+++ b/packages/backend_servers/src/endivesaddle/backend_servers/sse.py
@@ -1,39 +1,38 @@
-"""Split a stream of server-sent events into events, each as the bytes it came in.
+"""Split a stream of server-sent events into events without changing their bytes.
 
-The events are relayed as they are, so only their borders and their data lines
-are looked at.  A library that turns them into text and back would cost more than
-all else on the way of a token.
+Events are relayed unchanged, so that only their boundaries and data lines are parsed.  A library
+that decodes and encodes them would cost more than all other processing of a token.
 """
 
 from collections.abc import Iterator
 
 DONE = b'[DONE]'
-"""Data of the event that ends an answer."""
+"""Data of the event that ends a response."""
 _DATA = b'data:'
 
 
 class EventTooLong(Exception):
-    """An event outgrew its bound."""
+    """An event exceeds the size limit."""
 
 
 class EventSplitter:
-    """Collect bytes and give out whole events; a partial one waits for its rest.
+    """Split received bytes into complete events; a partial event is kept for the next call.
 
-    Lines may end in LF or CRLF, an event ends with an empty line.
+    Lines may end in LF or CRLF.  An event ends with an empty line.
     """
 
-    def __init__(self, most_bytes: int) -> None:
-        """Bound the bytes that wait for the end of their event."""
-        self._most_bytes = most_bytes
+    def __init__(self, max_event_bytes: int) -> None:
+        """Initialize with a size limit for an incomplete event."""
+        self._max_event_bytes = max_event_bytes
         self._waiting = b''
 
     @property
     def waiting(self) -> bytes:
-        """Bytes of an event whose end has not come."""
+        """Bytes of the incomplete event at the end."""
         return self._waiting
 
     def split(self, data: bytes) -> Iterator[bytes]:
-        """Yield the events that are whole now, each with its empty line."""
+        """Add bytes and yield the events that are now complete, each with its empty line."""
         waiting = self._waiting + data
         start = 0
         end = _event_end(waiting, start)
@@ -42,8 +41,8 @@
             start = end
             end = _event_end(waiting, start)
         self._waiting = waiting[start:]
-        if len(self._waiting) > self._most_bytes:
-            raise EventTooLong(f'an event is longer than {self._most_bytes} bytes')
+        if len(self._waiting) > self._max_event_bytes:
+            raise EventTooLong(f'an event is longer than {self._max_event_bytes} bytes')
 
 
 def event_data(event: bytes) -> bytes:
--- a/packages/backend_servers/src/endivesaddle/backend_servers/usage.py
+++ b/packages/backend_servers/src/endivesaddle/backend_servers/usage.py
@@ -1,7 +1,7 @@
-"""What an engine's answer says of the tokens that it cost.
+"""Token usage from an engine's response.
 
-Where the engine says nothing, an estimate stands in that is rather too high
-than too low: a budget is never overspent by it.  See docs/design/runs.md.
+If the engine reports none, a high estimate is used, so that a budget is never overspent.  See
+docs/design/runs.md.
 """
 
 import math
@@ -11,7 +11,7 @@
 from endivesaddle.wire import runs_pb2
 
 TOKEN_CHARS = 3
-"""Characters of a token in an estimate; engines' average is about four."""
+"""Characters per token assumed by the estimate; the average of engines is about four."""
 NO_USAGE = -1
 
 
@@ -24,12 +24,12 @@
 
     @property
     def tokens(self) -> int:
-        """All tokens, also where the engine gives no total."""
+        """All tokens, also if the engine gives no total."""
         return max(self.total_tokens, self.prompt_tokens + self.completion_tokens)
 
 
 class Delta(msgspec.Struct):
-    """What one event adds to a chat answer."""
+    """The part of a chat response that one event adds."""
 
     content: str | None = None
     reasoning_content: str | None = None
@@ -37,14 +37,14 @@
 
 
 class Choice(msgspec.Struct):
-    """One choice of an answer: a delta or a message of chat, or plain text."""
+    """One choice of a response: a delta or message of a chat, or plain text."""
 
     delta: Delta | None = None
     message: Delta | None = None
     text: str | None = None
 
     def tokens(self) -> int:
-        """Estimate the tokens from the text; at least one where there is any."""
+        """Estimate the tokens from the text, at least one if there is any."""
         chars = len(self.text or '')
         for part in (self.delta, self.message):
             if part is not None:
@@ -54,7 +54,7 @@
 
 
 class Piece(msgspec.Struct):
-    """An event of a streamed answer, or a whole answer."""
+    """An event of a streamed response, or a complete response."""
 
     choices: list[Choice] = []
     usage: Usage | None = None
@@ -64,22 +64,22 @@
 
 
 def parse_piece(text: bytes) -> Piece:
-    """Parse an event's data or a whole answer; raises ``ValueError``."""
+    """Parse an event's data or a complete response; raise ``ValueError`` if it is not valid."""
     return _decoder.decode(text)
 
 
 class Meter:
-    """Counts what a run has cost so far."""
+    """Counts the tokens that a run has used so far."""
 
     def __init__(self, message: runs_pb2.StartRequest, choices: int) -> None:
-        """Take the worst case of the prompt: the bound less what may be generated."""
+        """Assume the worst case of the prompt: the bound less the maximum of generated tokens."""
         self._bound_tokens = message.bound_tokens
         self._prompt_tokens = max(0, message.bound_tokens - choices * message.max_tokens)
         self._generated_tokens = 0
         self.reported_tokens = NO_USAGE
 
     def take(self, piece: Piece) -> None:
-        """Count a piece of the answer; a report of the engine goes before estimates."""
+        """Count a piece of the response; usage reported by the engine replaces the estimate."""
         if piece.usage is not None:
             self.reported_tokens = piece.usage.tokens
         for choice in piece.choices:
@@ -87,7 +87,7 @@
 
     @property
     def so_far_tokens(self) -> int:
-        """What is known to be used, or the estimate; 0 before anything came."""
+        """The reported usage or else the estimate; 0 before the first piece."""
         if self.reported_tokens != NO_USAGE:
             return self.reported_tokens
         if not self._generated_tokens:
--- a/packages/fleet/src/endivesaddle/fleet/routing/forward_settings.py
+++ b/packages/fleet/src/endivesaddle/fleet/routing/forward_settings.py
@@ -29,7 +29,7 @@
     )
     limit_policy: str = settings.option(
         'limit-policy',
-        f'how routers share the limit that a server named: {", ".join(limit_policies)}',
+        f'how routers share the limit that a server advertises: {", ".join(limit_policies)}',
         'few_routers',
         settings.choice(*limit_policies),
     )
@@ -41,25 +41,25 @@
     )
     retry_ratio: float = settings.option(
         'retry-ratio',
-        'repeats that a service bears for each request, over all routers',
+        'retries allowed for each request to a service, over all routers',
         0.2,
         settings.number(0, 1),
     )
     retry_slack: float = settings.option(
         'retry-slack',
-        'repeats within 10 s that a service bears besides, over all routers',
+        'additional retries allowed for a service within 10 s, over all routers',
         20.0,
         settings.number(0, 1_000_000),
     )
     crash_ends: int = settings.option(
         'crash-ends',
-        'servers that may end under one request before it is held back',
+        'servers that a request may crash before it is held back',
         3,
         settings.integer(1, 1000),
     )
     crash_held_s: float = settings.option(
         'crash-held-s',
-        'for how long such a request is held back at first; each further end doubles it',
+        'seconds that such a request is held back at first; each further crash doubles it',
         600.0,
         settings.number(1, 86_400),
     )
