--- a/packages/callers/src/endivesaddle/callers/app.py
+++ b/packages/callers/src/endivesaddle/callers/app.py
@@ -26,7 +26,7 @@
 HANDLERS = (operating, serving)
 """The modules whose import fills the registry of routes."""
 
-_FAULT = Refusal(
+_INTERNAL_ERROR = Refusal(
     'internal_error', 'the router failed', RUN_UNKNOWN, HTTPStatus.INTERNAL_SERVER_ERROR
 )
 
@@ -77,12 +77,12 @@
             self.cut_count += 1
             raise
         except CallerGone:
-            events.GONE.log(path=exchange.path)
+            events.DISCONNECTED.log(path=exchange.path)
         except Exception as error:
             # A bug in the router must not leave the caller without an answer or end others.
             events.FAULT.log(path=exchange.path, error=repr(error))
             if not exchange.started:
-                await exchange.reply(_FAULT.status, error_body(_FAULT))
+                await exchange.reply(_INTERNAL_ERROR.status, error_body(_INTERNAL_ERROR))
 
 
 def find_handler(exchange: Exchange) -> Handler:
--- a/packages/callers/src/endivesaddle/callers/events.py
+++ b/packages/callers/src/endivesaddle/callers/events.py
@@ -11,7 +11,9 @@
 BROKEN = event(
     6005, 'WARNING', 'caller_answer_broken', 'An answer broke off and could not be completed.'
 )
-GONE = event(6006, 'INFO', 'caller_gone', 'The caller disconnected before the end of its answer.')
+DISCONNECTED = event(
+    6006, 'INFO', 'caller_gone', 'The caller disconnected before the end of its answer.'
+)
 STALLED = event(
     6007,
     'WARNING',
--- a/packages/callers/src/endivesaddle/callers/forward_app.py
+++ b/packages/callers/src/endivesaddle/callers/forward_app.py
@@ -23,11 +23,11 @@
 
 JSON = 'application/json'
 CLOSE = ('connection', 'close')
-STARTING_AGAIN_S = 0.5
+STARTING_RETRY_AFTER_S = 0.5
 """Retry-after of a router that doesn't know the declarations yet."""
-ELSEWHERE_S = 0.05
+OTHER_ROUTER_RETRY_AFTER_S = 0.05
 """Retry-after if another router can accept the request on a new connection at once."""
-ALL_STOP_S = 2.0
+ALL_STOPPING_RETRY_AFTER_S = 2.0
 """Retry-after if all routers stop: the first one has restarted after about 2 s."""
 
 _STARTING = Refusal(
@@ -35,18 +35,18 @@
     'this router has not loaded the declarations yet',
     NOT_RUN,
     HTTPStatus.SERVICE_UNAVAILABLE,
-    STARTING_AGAIN_S,
+    STARTING_RETRY_AFTER_S,
 )
 
 
 class Stopping:
     """The state of a graceful stop: first no new connections, then no new requests."""
 
-    def __init__(self, others_stay: Callable[[], bool]) -> None:
-        """Initialize as serving; ``others_stay`` tells whether another router is available."""
+    def __init__(self, others_available: Callable[[], bool]) -> None:
+        """Initialize as serving; ``others_available`` tells whether another router is available."""
         self.leaving = False
         self.refusing = False
-        self._others_stay = others_stay
+        self._others_available = others_available
 
     def refusal(self) -> Refusal:
         """Return the refusal, with the time after which another router accepts the request.
@@ -54,10 +54,12 @@
         If all routers stop in turn, each before the previous one is back, a caller that
         retried at once would meet the next stopping router and have no further try.
         """
-        again_s = ELSEWHERE_S if self._others_stay() else ALL_STOP_S
+        retry_after_s = (
+            OTHER_ROUTER_RETRY_AFTER_S if self._others_available() else ALL_STOPPING_RETRY_AFTER_S
+        )
         reason = 'this router stops'
         status = HTTPStatus.SERVICE_UNAVAILABLE
-        return Refusal('stopping', reason, NOT_RUN, status, again_s)
+        return Refusal('stopping', reason, NOT_RUN, status, retry_after_s)
 
 
 class AsgiSink:
@@ -101,8 +103,8 @@
         await self._exchange.reply(refusal.status, error_body(refusal), headers)
 
     def _count(self, status: int, code: str) -> None:
-        took_s = self._parts.clock.now_s() - self._exchange.began_unix_s
-        self._parts.metrics.answered(self.kind, status, code, took_s)
+        elapsed_s = self._parts.clock.now_s() - self._exchange.began_unix_s
+        self._parts.metrics.answered(self.kind, status, code, elapsed_s)
 
 
 class ForwardParts(NamedTuple):
@@ -198,7 +200,7 @@
     def __init__(self, ready: Callable[[], bool]) -> None:
         """Initialize; ``ready`` is called for each check."""
         self._ready = ready
-        self._was = False
+        self._last_ready = False
 
     async def __call__(self, scope: MutableMapping[str, Any], receive: Receive, send: Send) -> None:
         """Serve one ASGI scope."""
@@ -206,8 +208,8 @@
             await serve_lifespan(receive, send)
             return
         ready = self._ready()
-        if ready is not self._was:
-            self._was = ready
+        if ready is not self._last_ready:
+            self._last_ready = ready
             events.READINESS.log(ready=ready)
         status = HTTPStatus.OK if ready else HTTPStatus.SERVICE_UNAVAILABLE
         await send(
--- a/packages/callers/src/endivesaddle/callers/forward_metrics.py
+++ b/packages/callers/src/endivesaddle/callers/forward_metrics.py
@@ -60,10 +60,10 @@
         await send({'type': 'http.response.start', 'status': HTTPStatus.OK, 'headers': pairs})
         await send({'type': 'http.response.body', 'body': body})
 
-    def answered(self, kind: str, status: int, code: str, took_s: float) -> None:
+    def answered(self, kind: str, status: int, code: str, elapsed_s: float) -> None:
         """Count the head of an answer; ``code`` is '' for the answer of a server."""
         self._answers.inc({'kind': kind, 'status': str(status), 'code': code})
-        self._first.observe({'kind': kind, 'status': str(status)}, took_s)
+        self._first.observe({'kind': kind, 'status': str(status)}, elapsed_s)
 
     def store_called(self, call: StoreCall) -> None:
         """Count one call to the store."""
--- a/packages/callers/src/endivesaddle/callers/forward_requests.py
+++ b/packages/callers/src/endivesaddle/callers/forward_requests.py
@@ -31,7 +31,7 @@
         return Head(route, None)
     account = declarations.account_of(exchange.bearer)
     if account is None:
-        return Invalid('invalid_key', 'the key is not known', status=HTTPStatus.UNAUTHORIZED)
+        return Invalid('invalid_key', 'the key is unknown', status=HTTPStatus.UNAUTHORIZED)
     return Head(route, account)
 
 
--- a/packages/callers/src/endivesaddle/callers/limits.py
+++ b/packages/callers/src/endivesaddle/callers/limits.py
@@ -73,10 +73,12 @@
         return rule.may_repeat
     wanted = _BOOLEANS.get(text.lower())
     if wanted is None:
-        return Invalid('invalid_may_repeat', f'{MAY_REPEAT} is true or false', MAY_REPEAT)
+        return Invalid('invalid_may_repeat', f'{MAY_REPEAT} must be true or false', MAY_REPEAT)
     # A caller may always forbid repetition, but needs a rule of the operators to allow it.
     if wanted and not (rule.may_repeat or rule.caller_may_choose):
-        return Invalid('may_not_choose', 'no rule lets callers allow a repetition here', MAY_REPEAT)
+        return Invalid(
+            'may_not_choose', 'no rule allows callers to permit repetition of this call', MAY_REPEAT
+        )
     return wanted
 
 
@@ -87,7 +89,7 @@
         return account.priority
     if not text.isdecimal() or int(text) > _MAX_PRIORITY:
         return Invalid(
-            'invalid_priority', f'{PRIORITY} takes a number from 0 to {_MAX_PRIORITY}', PRIORITY
+            'invalid_priority', f'{PRIORITY} must be a number from 0 to {_MAX_PRIORITY}', PRIORITY
         )
     return max(account.priority, int(text))
 
@@ -99,19 +101,19 @@
     clocks are off. ``max_timeout_s`` bounds both.
     """
     now_unix_s = exchange.began_unix_s
-    asked_unix_s = now_unix_s + settings.default_timeout_s
+    requested_unix_s = now_unix_s + settings.default_timeout_s
     for header, base_unix_s in ((TIMEOUT, now_unix_s), (DEADLINE, 0)):
         text = exchange.headers.get(header)
         if text is not None:
             number = _finite(text)
             if number is None:
-                return Invalid('invalid_deadline', f'{header} takes seconds', header)
-            asked_unix_s = base_unix_s + number
-    if asked_unix_s <= now_unix_s:
+                return Invalid('invalid_deadline', f'{header} must be a number of seconds', header)
+            requested_unix_s = base_unix_s + number
+    if requested_unix_s <= now_unix_s:
         return Invalid(
             'deadline_passed', 'the deadline has passed', status=HTTPStatus.GATEWAY_TIMEOUT
         )
-    return min(asked_unix_s, now_unix_s + settings.max_timeout_s)
+    return min(requested_unix_s, now_unix_s + settings.max_timeout_s)
 
 
 def _finite(text: str) -> float | None:
--- a/packages/callers/src/endivesaddle/callers/models.py
+++ b/packages/callers/src/endivesaddle/callers/models.py
@@ -144,14 +144,14 @@
     given = {tokens for tokens in named if tokens is not None}
     if len(given) > 1:
         return Invalid('invalid_field', 'max_tokens and max_completion_tokens differ', _MAX_TOKENS)
-    for asked in given:
-        if asked > model.max_output_tokens:
+    for requested in given:
+        if requested > model.max_output_tokens:
             return Invalid(
                 'max_tokens_too_large',
                 f'max_tokens is at most {model.max_output_tokens} for {model.name}',
                 _MAX_TOKENS,
             )
-        return asked
+        return requested
     return min(settings.default_output_tokens, model.max_output_tokens)
 
 
@@ -226,4 +226,6 @@
         return bounds.text_bound(prompt)
     if isinstance(prompt, list) and prompt and all(type(token) is int for token in prompt):
         return len(prompt)
-    return Invalid('invalid_field', 'prompt takes text or token ids, or a list of these', 'prompt')
+    return Invalid(
+        'invalid_field', 'prompt must be text or token ids, or a list of these', 'prompt'
+    )
--- a/packages/callers/src/endivesaddle/callers/naming.py
+++ b/packages/callers/src/endivesaddle/callers/naming.py
@@ -33,7 +33,7 @@
     if _ALLOWED.fullmatch(key) is None:
         return Invalid(
             'invalid_idempotency_key',
-            'Idempotency-Key takes 1 to 128 letters, digits and any of . _ : + = @ -',
+            'Idempotency-Key must have 1 to 128 letters, digits and any of . _ : + = @ -',
             IDEMPOTENCY_KEY,
         )
     return Name(key, named=True, first_attempt=exchange.headers.get(RETRY_COUNT) == '0')
--- a/packages/callers/src/endivesaddle/callers/operating.py
+++ b/packages/callers/src/endivesaddle/callers/operating.py
@@ -114,7 +114,7 @@
 def _no_operator() -> Invalid:
     return Invalid(
         'invalid_operator_token',
-        'the Authorization header names no token of an operator',
+        'the Authorization header contains no token of an operator',
         'authorization',
         HTTPStatus.UNAUTHORIZED,
     )
--- a/packages/callers/src/endivesaddle/callers/relay.py
+++ b/packages/callers/src/endivesaddle/callers/relay.py
@@ -169,7 +169,7 @@
             await close()
 
 
-def fault(request_id: str) -> Refusal:
+def internal_error(request_id: str) -> Refusal:
     """Return the refusal for a failure of the router itself."""
     return Refusal(
         'internal_error',
@@ -180,7 +180,7 @@
 
 
 def _forwarded_headers(answer: Answer, request_id: str) -> list[tuple[str, str]]:
-    passed = [
+    headers = [
         (name.lower(), text) for name, text in answer.headers if name.lower() not in _OWN_HEADERS
     ]
-    return [*passed, (REQUEST_ID, request_id), (ATTEMPT, str(answer.attempt))]
+    return [*headers, (REQUEST_ID, request_id), (ATTEMPT, str(answer.attempt))]
--- a/packages/callers/src/endivesaddle/callers/serving.py
+++ b/packages/callers/src/endivesaddle/callers/serving.py
@@ -30,7 +30,7 @@
 )
 _NO_KEY = Invalid(
     'invalid_api_key',
-    'the Authorization header names no key of a client account',
+    'the Authorization header contains no key of a client account',
     'authorization',
     HTTPStatus.UNAUTHORIZED,
 )
@@ -102,7 +102,7 @@
     # would interrupt the server's last send and leave the connection unusable.
     if exchange.ending and not exchange.stalled:
         return
-    (events.STALLED if exchange.stalled else events.GONE).log(request=request.key)
+    (events.STALLED if exchange.stalled else events.DISCONNECTED).log(request=request.key)
     context.metrics.ended('gone')
     scope.cancel()
 
--- a/packages/callers/src/endivesaddle/callers/settings.py
+++ b/packages/callers/src/endivesaddle/callers/settings.py
@@ -7,7 +7,7 @@
 BODY_BYTES = 1_048_576
 COMMAND_BYTES = 16_777_216
 ANSWER_BYTES = 8_388_608
-MANY = 1_000_000
+MAX_COUNT = 1_000_000
 
 
 @dataclasses.dataclass(frozen=True)
@@ -36,13 +36,13 @@
         'max-in-flight',
         'maximum number of open requests of one router',
         4096,
-        settings.integer(1, MANY),
+        settings.integer(1, MAX_COUNT),
     )
     default_output_tokens: int = settings.option(
         'default-output-tokens',
         'max_tokens of a request that names none (the same on all routers)',
         1024,
-        settings.integer(1, MANY),
+        settings.integer(1, MAX_COUNT),
     )
     max_choices: int = settings.option(
         'max-choices', 'largest "n" or "best_of" of a request', 8, settings.integer(1, 128)
@@ -81,7 +81,7 @@
         'requests-a-connection',
         'requests after which a connection is closed, so that load is rebalanced',
         10_000,
-        settings.integer(1, MANY),
+        settings.integer(1, MAX_COUNT),
     )
     probe_after_s: int = settings.option(
         'probe-after-s',
--- a/packages/fleet/src/endivesaddle/fleet/requests/answering.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/answering.py
@@ -60,7 +60,7 @@
     def abandon(self, call: Call) -> None:
         """Handle a call whose caller has disconnected."""
         self.release(call, ok=True)
-        self._background.start(self._finisher.handle_departure, call)
+        self._background.start(self._finisher.handle_disconnect, call)
 
     def release(self, call: Call, ok: bool, used_tokens: int = 0) -> None:
         """Report the end of an admitted attempt to routing, once."""
@@ -91,11 +91,11 @@
         async def on_end(end: runs_pb2.End | None) -> None:
             await self._on_end(call, end)
 
-        def on_leave() -> None:
+        def on_disconnect() -> None:
             self.abandon(call)
 
         return _answer(
-            opened, Relay(opened.follower, opened.pieces, opened.first, on_end, on_leave)
+            opened, Relay(opened.follower, opened.pieces, opened.first, on_end, on_disconnect)
         )
 
     async def _on_end(self, call: Call, end: runs_pb2.End | None) -> None:
--- a/packages/fleet/src/endivesaddle/fleet/requests/call_executor.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/call_executor.py
@@ -232,7 +232,7 @@
         call.excluded.add(placed.server)
         self._answering.release(call, ok=False)
         call.steps.append(self._step_factory.step(states.LOST, placed.attempt, reason))
-        if self._may_try_again(call):
+        if self._may_retry(call):
             return await self._place(call)
         if end is not None and end.outcome == states.FAILED:
             await self._finisher.settle(call, states.FAILED, end.used_tokens)
@@ -241,7 +241,7 @@
         OUTCOME_UNKNOWN.log(request_key=call.request.key, reason=reason)
         return refusals.OUTCOME_UNKNOWN.refuse(RUN_UNKNOWN, reason)
 
-    def _may_try_again(self, call: Call) -> bool:
+    def _may_retry(self, call: Call) -> bool:
         request = call.request
         if not request.may_repeat or call.tries >= self._context.settings.max_attempts:
             return False
--- a/packages/fleet/src/endivesaddle/fleet/requests/claims.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/claims.py
@@ -108,7 +108,7 @@
             return holders_pb2.SettleReply(reason=held.reason, holder=held.holder)
         entry = self._table.find(message.request_key)
         if entry is None:
-            self._granter.leave(message)
+            self._granter.note_disconnect(message)
             if not message.HasField('record'):
                 return holders_pb2.SettleReply(reason=states.NO_RECORD)
             entry = self._settler.add_reported(_reopened(message.record))
--- a/packages/fleet/src/endivesaddle/fleet/requests/copies.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/copies.py
@@ -1,4 +1,4 @@
-"""Copies of records on a second instance, in another data centre where there is one."""
+"""Copies of records on a second instance, in another data centre if there is one."""
 
 from collections.abc import Iterator
 
@@ -60,8 +60,8 @@
         """Remove expired copies."""
         for entry in self._kept.due():
             record = entry.record
-            began_unix_s = max(record.deadline_unix_s, record.claimed_unix_s, record.ended_unix_s)
-            forget_unix_s = began_unix_s + self._kept.keep_s(record)
+            base_unix_s = max(record.deadline_unix_s, record.claimed_unix_s, record.ended_unix_s)
+            forget_unix_s = base_unix_s + self._kept.keep_s(record)
             if forget_unix_s <= self._context.now_s():
                 self._kept.drop(record.request_key)
             else:
@@ -76,8 +76,8 @@
         kept = anyio.Event()
         with anyio.move_on_after(self._context.settings.ask_s):
             async with anyio.create_task_group() as group:
-                for turn, address in enumerate(self._candidates(record)[:MAX_TRIES]):
-                    group.start_soon(self._copy_to, address, record, turn * HEDGE_S, kept)
+                for position, address in enumerate(self._candidates(record)[:MAX_TRIES]):
+                    group.start_soon(self._copy_to, address, record, position * HEDGE_S, kept)
                 await kept.wait()
                 group.cancel_scope.cancel()
         return kept.is_set()
--- a/packages/fleet/src/endivesaddle/fleet/requests/deciding.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/deciding.py
@@ -34,14 +34,14 @@
     def __init__(self, message: holders_pb2.ClaimRequest) -> None:
         """Initialize without a decision.
 
-        ``yield_to`` is the data centre whose crossing claim has precedence; ``left`` is
+        ``yield_to`` is the data centre whose crossing claim has precedence; ``disconnected`` is
         set once the caller has disconnected.
         """
         self.message = message
         self.done = anyio.Event()
         self.reply: holders_pb2.ClaimReply | None = None
         self.yield_to = ''
-        self.left = False
+        self.disconnected = False
 
     def answers(self, message: holders_pb2.ClaimRequest) -> bool:
         """Tell whether the reply is also valid for another claim of the same key.
@@ -85,7 +85,7 @@
             return self._reply_known(query_result.known, message, query_result)
         if query_result.yield_to:
             return self._redirect_to(query_result.yield_to, message)
-        if self._known_here(message.request_key):
+        if self._is_known(message.request_key):
             return None
         return await self._reserve(pending, query_result)
 
@@ -172,7 +172,7 @@
         CLAIM_REFUSED.log(request_key=message.request_key, code=refusal.code)
         return refusals.to_reply(refusals.weaken(refusal, not_run))
 
-    def _known_here(self, request_key: str) -> bool:
+    def _is_known(self, request_key: str) -> bool:
         entry = self._table.find(request_key)
         return entry is not None and entry.record.state in {
             states.DISPATCHED, states.ENDED, states.UNKNOWN,
@@ -220,7 +220,7 @@
             # instance that sealed its epoch got a report of its claims without this one.
             self._context.budgets.settle(message.account, message.request_key, reserved.epoch, 0)
             return _not_holder(NotHolder(states.OLD_EPOCH, ''))
-        if pending.yield_to or self._known_here(message.request_key):
+        if pending.yield_to or self._is_known(message.request_key):
             self._context.budgets.settle(message.account, message.request_key, reserved.epoch, 0)
             if pending.yield_to:
                 return self._redirect_to(pending.yield_to, message)
@@ -264,7 +264,7 @@
             # never mistaken for a chunk of the next one.
             record.attempt = previous.record.attempt
             append(record, *previous.record.steps)
-        append(record, *self._table.refused.take(message.request_key))
+        append(record, *self._table.refused.pop(message.request_key))
         append(record, self._step_factory.step('claimed', record.attempt, message.router))
         if record.provisional:
             PROVISIONAL.log(request_key=record.request_key, unasked=list(query_result.unsure))
--- a/packages/fleet/src/endivesaddle/fleet/requests/dispatching.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/dispatching.py
@@ -105,9 +105,9 @@
     Failure: an answer breaks, and a retry runs the request again. Symptom: the holder
     cancels that run at the deadline of the caller's first attempt.
     """
-    asked_s = record.deadline_unix_s - record.claimed_unix_s
+    requested_s = record.deadline_unix_s - record.claimed_unix_s
     began_unix_s = max((step.at_unix_s for step in message.steps), default=0)
-    record.deadline_unix_s = max(record.deadline_unix_s, began_unix_s + asked_s)
+    record.deadline_unix_s = max(record.deadline_unix_s, began_unix_s + requested_s)
 
 
 def _withdraw(entry: Entry, message: holders_pb2.NoteRequest) -> str:
--- a/packages/fleet/src/endivesaddle/fleet/requests/finishing.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/finishing.py
@@ -37,14 +37,14 @@
         """
         call.steps.append(self._step_factory.step('relayed', call.record.attempt, outcome))
         message = self._message(call, outcome, used_tokens)
-        if await self._try(message):
+        if await self._settle_once(message):
             return
         record = message.record
         kept = await self._holder_client.copy(record)
         SETTLE_DELAYED.log(request_key=record.request_key, copied=kept)
         if self.unsettled < MAX_UNSETTLED:
             self.unsettled += 1
-            self._background.start(self._keep_trying, message)
+            self._background.start(self._retry_settlement, message)
 
     async def release(self, call: Call, status: int = 0) -> bool:
         """Release the reservation of a claim under which nothing ran.
@@ -59,7 +59,7 @@
         reply = await self._holder_client.settle(message)
         return reply is not None and reply.settled
 
-    async def handle_departure(self, call: Call) -> None:
+    async def handle_disconnect(self, call: Call) -> None:
         """Handle a caller that has disconnected: cancel its run unless others may need it.
 
         A caller that sent its own request id may come back with a retry, so its run is
@@ -70,12 +70,12 @@
         if call.record.state == states.CLAIMED:
             await self.release(call)
             return
-        alone = await self._note_departure(call)
+        alone = await self._note_disconnect(call)
         if not (alone and call.request.may_repeat):
             return
         if call.request.named:
             await anyio.sleep(self._context.settings.cancel_after_s)
-            alone = await self._note_departure(call)
+            alone = await self._note_disconnect(call)
         if alone:
             await self._cancel(call)
 
@@ -86,7 +86,7 @@
         call.record.data_centre = self._context.identity.data_centre
         call.record.state = states.CLAIMED
 
-    async def _note_departure(self, call: Call) -> bool:
+    async def _note_disconnect(self, call: Call) -> bool:
         step = self._step_factory.step(states.LEFT, call.record.attempt)
         message = holders_pb2.NoteRequest(
             request_key=call.request.key,
@@ -133,7 +133,7 @@
             call_id=call.call_id,
         )
 
-    async def _try(self, message: holders_pb2.SettleRequest) -> bool:
+    async def _settle_once(self, message: holders_pb2.SettleRequest) -> bool:
         """Settle, sending the full record only to a holder that doesn't have it."""
         short = holders_pb2.SettleRequest()
         short.CopyFrom(message)
@@ -143,12 +143,12 @@
             reply = await self._holder_client.settle(message)
         return reply is not None and reply.settled
 
-    async def _keep_trying(self, message: holders_pb2.SettleRequest) -> None:
+    async def _retry_settlement(self, message: holders_pb2.SettleRequest) -> None:
         until_unix_s = message.record.deadline_unix_s + self._context.settings.settle_until_s
         try:
             while self._context.now_s() < until_unix_s:
                 await anyio.sleep(self._context.settings.settle_retry_s)
-                if await self._try(message):
+                if await self._settle_once(message):
                     return
             SETTLE_GIVEN_UP.log(request_key=message.request_key)
         finally:
--- a/packages/fleet/src/endivesaddle/fleet/requests/granting.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/granting.py
@@ -53,11 +53,13 @@
             if reply is not None:
                 return reply
 
-    def leave(self, message: holders_pb2.SettleRequest) -> None:
+    def note_disconnect(self, message: holders_pb2.SettleRequest) -> None:
         """Note that the caller of a pending claim has disconnected."""
         pending = self.pending.get(message.request_key)
         if pending is not None and message.outcome == states.REFUSED:
-            pending.left = pending.left or message.call_id == pending.message.call_id
+            pending.disconnected = (
+                pending.disconnected or message.call_id == pending.message.call_id
+            )
 
     def _reject_if_not_holder(
         self, message: holders_pb2.ClaimRequest
@@ -121,7 +123,7 @@
         # its place in the budget's queue when it sends the claim again.
         try:
             pending.reply = await self._decider.decide(pending)
-            self._release_left(pending)
+            self._release_disconnected(pending)
         finally:
             self.pending.pop(pending.message.request_key, None)
             pending.done.set()
@@ -136,8 +138,8 @@
             data_centre = self._context.identity.data_centre
             self._table.refused.add(refused_record(message, reply, step, data_centre))
 
-    def _release_left(self, pending: Pending) -> None:
+    def _release_disconnected(self, pending: Pending) -> None:
         """Release a claim at once if its caller disconnected while it was pending."""
         entry = self._table.find(pending.message.request_key)
-        if pending.left and entry is not None and entry.calls == {pending.message.call_id}:
+        if pending.disconnected and entry is not None and entry.calls == {pending.message.call_id}:
             self._settler.close_not_run(entry, 'the caller disconnected')
--- a/packages/fleet/src/endivesaddle/fleet/requests/holder_client.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/holder_client.py
@@ -49,10 +49,14 @@
         for _ in range(MAX_ADDRESSES):
             if not address:
                 break
-            reply = await self._try(address, rpcs.NOTE, message, call.request.deadline_unix_s)
+            reply = await self._call_or_none(
+                address, rpcs.NOTE, message, call.request.deadline_unix_s
+            )
             if reply is None:
                 # The reply decides how the call goes on, and a note is idempotent: retry once.
-                reply = await self._try(address, rpcs.NOTE, message, call.request.deadline_unix_s)
+                reply = await self._call_or_none(
+                    address, rpcs.NOTE, message, call.request.deadline_unix_s
+                )
             if reply is None:
                 break
             if not reply.holder:
@@ -67,7 +71,7 @@
             if not address:
                 return None
             deadline_unix_s = self._context.now_s() + self._context.settings.call_s
-            reply = await self._try(address, rpcs.SETTLE, message, deadline_unix_s)
+            reply = await self._call_or_none(address, rpcs.SETTLE, message, deadline_unix_s)
             if reply is None or not reply.holder:
                 return reply
             address = reply.holder
@@ -85,7 +89,7 @@
                 continue
             deadline_unix_s = self._context.now_s() + self._context.settings.ask_s
             message = holders_pb2.CopyRequest(record=record)
-            reply = await self._try(address, rpcs.COPY, message, deadline_unix_s)
+            reply = await self._call_or_none(address, rpcs.COPY, message, deadline_unix_s)
             if reply is not None and reply.kept:
                 return True
         return False
@@ -164,7 +168,7 @@
         call.may_be_claimed = True
         return reply
 
-    async def _try(
+    async def _call_or_none(
         self, address: str, rpc: rpcs.Rpc[Any, Any], message: Any, deadline_unix_s: float
     ) -> Any:
         try:
--- a/packages/fleet/src/endivesaddle/fleet/requests/records.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/records.py
@@ -77,20 +77,20 @@
             record = self._queue.popleft()
             waiting.setdefault(record.shard, []).append(record)
         for shard, records in waiting.items():
-            left = records
+            rest = records
             try:
-                left = await self._write(shard, records)
+                rest = await self._write(shard, records)
             except (StoreUnreachable, StoreWriteUnconfirmed, BrokenBatch) as error:
                 # If only the reply was lost, the retry merges them with the written batch.
-                RECORDS_DELAYED.log(shard=shard, reason=str(error), records=len(left))
-            for record in left:
+                RECORDS_DELAYED.log(shard=shard, reason=str(error), records=len(rest))
+            for record in rest:
                 self.add(record)
 
     async def find(self, message: holders_pb2.FindRequest) -> holders_pb2.FindReply:
         """Find records at the holders of the account and in the store."""
         if message.request_key and not message.account:
             message.account = message.request_key.partition('/')[0]
-        replies = [*await self._ask(message), await self.find_stored(message)]
+        replies = [*await self._query_holders(message), await self.find_stored(message)]
         records = [record for reply in replies for record in reply.records]
         found = find_in(message, records, self._matcher)
         found.complete = found.complete and all(reply.complete for reply in replies)
@@ -150,12 +150,12 @@
         self._dropped += count
         RECORDS_DROPPED.log(records=count)
 
-    async def _ask(self, message: holders_pb2.FindRequest) -> list[holders_pb2.FindReply]:
+    async def _query_holders(self, message: holders_pb2.FindRequest) -> list[holders_pb2.FindReply]:
         addresses = self._addresses(message.account)
         replies: list[holders_pb2.FindReply] = []
         async with anyio.create_task_group() as group:
             for address in addresses:
-                group.start_soon(self._ask_one, address, message, replies.append)
+                group.start_soon(self._query_holder, address, message, replies.append)
         return replies
 
     def _addresses(self, account: str) -> list[str]:
@@ -165,18 +165,18 @@
             return list(dict.fromkeys(holders))
         return [member.address for member in self._context.view.members('router')]
 
-    async def _ask_one(
+    async def _query_holder(
         self,
         address: str,
         message: holders_pb2.FindRequest,
-        take: Callable[[holders_pb2.FindReply], None],
+        add_reply: Callable[[holders_pb2.FindReply], None],
     ) -> None:
         deadline_unix_s = self._context.now_s() + self._context.settings.call_s
         try:
-            take(await self._context.peers.call(address, rpcs.FIND, message, deadline_unix_s))
+            add_reply(await self._context.peers.call(address, rpcs.FIND, message, deadline_unix_s))
         except (PeerUnreachable, PeerNoReply, PeerRefused):
-            silent = address or 'an unknown holder'
-            take(holders_pb2.FindReply(reason=f'{silent} did not answer'))
+            name = address or 'an unknown holder'
+            add_reply(holders_pb2.FindReply(reason=f'{name} did not answer'))
 
 
 def _batch(stored: Stored | Absent, period: int) -> holders_pb2.Batch:
--- a/packages/fleet/src/endivesaddle/fleet/requests/refusals.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/refusals.py
@@ -33,7 +33,7 @@
 RETRY_UNSURE = Kind(
     'retry_unsure',
     HTTPStatus.SERVICE_UNAVAILABLE.value,
-    'this attempt did not run; whether an earlier one did is not known, as not all could be asked',
+    'this attempt did not run; an earlier one may have, as not all data centres were certain',
     5,
 )
 DEADLINE_PASSED = Kind(
@@ -42,7 +42,7 @@
 TOO_MANY_RECORDS = Kind(
     'too_many_requests_remembered',
     HTTPStatus.SERVICE_UNAVAILABLE.value,
-    'the holder of the budget can remember no more requests',
+    'the holder of the budget has no room for more requests',
     5,
 )
 NO_HOLDER = Kind(
@@ -54,13 +54,13 @@
 NO_COPY = Kind(
     'no_copy',
     HTTPStatus.SERVICE_UNAVAILABLE.value,
-    'no second instance could keep the dispatch of a request that may not be repeated',
+    'no second instance could store the dispatch of a request that may not be repeated',
     2,
 )
 NO_SERVER_TOOK_IT = Kind(
     'no_server_took_it',
     HTTPStatus.SERVICE_UNAVAILABLE.value,
-    'no backend server took the request',
+    'no backend server accepted the request',
     1,
 )
 ANSWER_BROKEN = Kind(
@@ -76,12 +76,12 @@
 RUN_FAILED = Kind(
     'run_failed',
     HTTPStatus.BAD_GATEWAY.value,
-    'the request ran and gave no whole answer',
+    'the request ran and gave no complete answer',
 )
 ANSWER_CANCELLED = Kind(
     'answer_cancelled',
     HTTPStatus.GONE.value,
-    'the run of this request was cancelled when its caller went away or its deadline passed',
+    'the run of this request was cancelled when its caller disconnected or its deadline passed',
 )
 ANSWER_GONE = Kind(
     'answer_gone', HTTPStatus.GONE.value, 'the request has run; its answer is no longer kept'
--- a/packages/fleet/src/endivesaddle/fleet/requests/refused_claims.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/refused_claims.py
@@ -31,14 +31,14 @@
 
     def add(self, record: holders_pb2.Record) -> None:
         """Add a refusal to the earlier ones of the same request."""
-        steps = [*self.take(record.request_key), *record.steps][-MAX_REFUSALS:]
+        steps = [*self.pop(record.request_key), *record.steps][-MAX_REFUSALS:]
         record.ClearField('steps')
         record.steps.extend(steps)
         self._packed[record.request_key] = record.SerializeToString()
         while len(self._packed) > self._most:
             self._packed.popitem(last=False)
 
-    def take(self, request_key: str) -> list[holders_pb2.Step]:
+    def pop(self, request_key: str) -> list[holders_pb2.Step]:
         """Remove the refusals of a request and return their steps."""
         packed = self._packed.pop(request_key, b'')
         return list(holders_pb2.Record.FromString(packed).steps)
--- a/packages/fleet/src/endivesaddle/fleet/requests/relaying.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/relaying.py
@@ -32,14 +32,14 @@
         pieces: AsyncGenerator[bytes, None],
         first: bytes,
         on_end: OnEnd,
-        on_leave: Callable[[], None],
+        on_disconnect: Callable[[], None],
     ) -> None:
-        """Yield ``first``, then ``pieces``; ``on_leave`` is called if closed before the end."""
+        """Yield ``first``, then ``pieces``; call ``on_disconnect`` if closed before the end."""
         self._follower = follower
         self._pieces = pieces
         self._first = first
         self._on_end = on_end
-        self._on_leave = on_leave
+        self._on_disconnect = on_disconnect
         self._ended = False
         self._output = self._generate()
 
@@ -55,19 +55,19 @@
             raise
         except BaseException:
             # Cancelled: the caller has disconnected, or this router is stopping.
-            self._leave()
+            self._disconnect()
             raise
 
     async def aclose(self) -> None:
         """Close the answer; the run is abandoned unless its end was reached."""
-        self._leave()
+        self._disconnect()
         await self._output.aclose()
         await self._pieces.aclose()
 
-    def _leave(self) -> None:
+    def _disconnect(self) -> None:
         if not self._ended:
             self._ended = True
-            self._on_leave()
+            self._on_disconnect()
 
     async def _generate(self) -> AsyncGenerator[bytes, None]:
         held_back = b''
--- a/packages/fleet/src/endivesaddle/fleet/requests/sweeping.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/sweeping.py
@@ -227,11 +227,11 @@
             return False
         if has_step(other, states.BILLED_ELSEWHERE):
             return False
-        there = _standing(other, own.data_centre)
-        here = _standing(own, other.data_centre)
-        if there is here:
+        theirs = _bill_certainty(other, own.data_centre)
+        ours = _bill_certainty(own, other.data_centre)
+        if theirs is ours:
             return has_precedence(own.request_key, other.data_centre, own.data_centre)
-        return there < here
+        return theirs < ours
 
 
 def _may_end_not_run(own: holders_pb2.Record, other: holders_pb2.Record) -> bool:
@@ -246,7 +246,7 @@
     return other.state in {states.CLAIMED, states.DISPATCHED}
 
 
-class Standing(enum.IntEnum):
+class BillCertainty(enum.IntEnum):
     """How certain a bill is; of two bills the one with the lower value stands."""
 
     CERTAIN = 0
@@ -254,8 +254,8 @@
     PROVISIONAL = 2
 
 
-def _standing(record: holders_pb2.Record, asked: str) -> Standing:
-    """Return how certain a bill is with respect to another data centre."""
+def _bill_certainty(record: holders_pb2.Record, asked: str) -> BillCertainty:
+    """Return how certain a bill is with respect to the data centre ``asked``."""
     if asked not in record.unasked:
-        return Standing.CERTAIN
-    return Standing.PROVISIONAL if record.provisional else Standing.REPORTED
+        return BillCertainty.CERTAIN
+    return BillCertainty.PROVISIONAL if record.provisional else BillCertainty.REPORTED
