--- a/features/budget_orders.feature
+++ b/features/budget_orders.feature
@@ -1,17 +1,17 @@
-Feature: Orders of messages, losses, pauses and restarts against the budgets
-  Whatever the order, what ran never exceeds what was paid in, and the store never
-  shows more spent than ran.
+Feature: Budgets under sequences of requests, losses, pauses and restarts
+  In every sequence, the usage never exceeds the tokens paid in, and the store never
+  shows more spent tokens than were used.
 
-  Scenario: A search finds no order that overspends or bills twice
-    When budget orders are searched through 12 examples of up to 30 steps
-    Then no budget order overspends
-    And no budget order bills twice
+  Scenario: A search finds no sequence that overspends or bills twice
+    When budget sequences are searched with 12 examples of up to 30 steps
+    Then no budget sequence overspends
+    And no budget sequence bills twice
 
-  Scenario: The answer to a write that folds an idle account's grant is lost
+  Scenario: The reply to a write that folds the grant of an idle account is lost
     The account was billed twice for one request. The write that folds its grant into the
-    spent tokens is given up on and arrives late. Then tokens come directly: the holder
-    entered them first, took the grant that this made for its own, and added it all again.
-    When this budget order is played
+    spent tokens times out and arrives late. Then the holder receives a direct transfer: it
+    recorded that first, mistook the resulting grant for its old one, and added it again.
+    When this budget sequence is run
       | action      | first | second | third |
       | kill        | 7     | 4      | 3     |
       | sleep       | 6     | 0      | 0     |
@@ -26,14 +26,14 @@
       | late_writes | 5     | 5      | 5     |
       | sleep       | 29    | 0      | 0     |
       | request     | 0     | 15     | 7     |
-    Then no budget order overspends
-    And no budget order bills twice
+    Then no budget sequence overspends
+    And no budget sequence bills twice
 
-  Scenario: A sidecar is restarted while it runs, and then its holder is paused
-    More ran than was set aside: 2,300 tokens were freed that had run. The sidecar forgot
-    its run. The holder woke and told of the reservation; no sidecar knew of it, and that
-    was taken for "never ran", though one of them had been another incarnation by then.
-    When this budget order is played
+  Scenario: A sidecar is restarted during a run, and then its holder is paused
+    The usage exceeded the stranded tokens: 2,300 used tokens were freed. The sidecar lost its
+    run in the restart. The holder resumed and reported the reservation; no sidecar knew it,
+    which was taken for "never ran", although one sidecar was a new incarnation by then.
+    When this budget sequence is run
       | action          | first | second | third |
       | request         | 2     | 6      | 9     |
       | request         | 3     | 12     | 3     |
@@ -46,14 +46,14 @@
       | sleep           | 5     | 0      | 0     |
       | pause           | 1     | 1      | 4     |
       | sleep           | 26    | 0      | 0     |
-    Then no budget order overspends
-    And no budget order bills twice
+    Then no budget sequence overspends
+    And no budget sequence bills twice
 
-  Scenario: A holder folds its grant, lives on transfers and is taken over
-    400 tokens were billed twice. What its grant had spent was folded; then tokens came
-    directly, and the holder was taken over before the store knew of them. Its successor
-    counted all that had run under the epoch, with what was folded.
-    When this budget order is played
+  Scenario: A holder folds its grant, spends transferred tokens and is taken over
+    400 tokens were billed twice. The spent tokens of the grant were folded. Then the holder
+    received a direct transfer and was taken over before that was recorded in the store. Its
+    successor counted all runs under the epoch, including those already folded.
+    When this budget sequence is run
       | action      | first | second | third |
       | request     | 1     | 19     | 9     |
       | restart     | 6     | 2      | 6     |
@@ -79,5 +79,5 @@
       | late_writes | 0     | 6      | 3     |
       | request     | 0     | 13     | 5     |
       | sleep       | 4     | 0      | 0     |
-    Then no budget order overspends
-    And no budget order bills twice
+    Then no budget sequence overspends
+    And no budget sequence bills twice
