--- a/packages/fleet/src/endivesaddle/fleet/distribution/__init__.py
+++ b/packages/fleet/src/endivesaddle/fleet/distribution/__init__.py
@@ -1,4 +1,4 @@
-"""How an accepted configuration comes into force everywhere, and never reverts."""
+"""Distribution of accepted configurations to all instances; revisions never go back."""
 
 from endivesaddle.fleet.distribution.distribution import Distribution
 from endivesaddle.fleet.distribution.settings import DistributionSettings
--- a/packages/fleet/src/endivesaddle/fleet/distribution/distribution.py
+++ b/packages/fleet/src/endivesaddle/fleet/distribution/distribution.py
@@ -1,4 +1,4 @@
-"""Distribution of the configuration: relays watch the store, a tree tells the rest."""
+"""Distribution of the configuration: relays watch the store and push to the other instances."""
 
 from collections.abc import Callable
 from typing import Any, NamedTuple
@@ -19,25 +19,25 @@
 from endivesaddle.fleet.ports import Handlers, Peers, Store
 from endivesaddle.wire import members_pb2, rpcs
 
-_NO_ANSWER = (PeerUnreachable, PeerNoReply, PeerRefused)
+_CALL_FAILED = (PeerUnreachable, PeerNoReply, PeerRefused)
 _NO_RELAY = -1
 PUSHED = 'push'
 
 
 class NewerPeer(NamedTuple):
-    """A peer that was heard to have a higher revision."""
+    """A peer that reported a higher revision."""
 
     revision: int
     address: str
 
 
 class Distribution:
-    """Hold the revision in force, and move it to higher ones only.
+    """The revision in force at one instance; it only moves to higher revisions.
 
-    Three ways lead to a new revision: a relay's watch, a push from the router
-    above, and a pull from whoever is heard to be ahead.  The last repairs
-    whatever the others missed, and serves a process that starts while the
-    store is down.
+    A new revision arrives in one of three ways: by a relay's watch of the store, by a push
+    from the parent router, or by a pull from a peer with a higher revision.  A pull
+    recovers revisions that were missed, and serves a process that starts while the store
+    is unavailable.
     """
 
     def __init__(
@@ -49,7 +49,7 @@
         membership: Membership,
         clock: Clock,
     ) -> None:
-        """Start before the first revision; sidecars have no ``store``."""
+        """Initialize at revision 0; sidecars have no ``store``."""
         self._settings = settings
         self._identity = identity
         self._peers = peers
@@ -65,12 +65,12 @@
 
     @property
     def configuration(self) -> Configuration:
-        """The configuration in force here."""
+        """The configuration in force on this instance."""
         return self._revision_state.configuration
 
     @property
     def revision(self) -> int:
-        """The revision in force here; 0 before the first."""
+        """The revision in force on this instance; 0 before the first one."""
         return self._revision_state.revision
 
     def on_change(self, listener: Callable[[Configuration], None]) -> None:
@@ -78,26 +78,26 @@
         self._revision_state.listeners.append(listener)
 
     def register(self, handlers: Handlers) -> None:
-        """Answer the calls of distribution."""
+        """Register the handlers of pushes and pulls."""
         handlers.answer(rpcs.PUSH, self._pushed)
         handlers.answer(rpcs.PULL, self._pulled)
 
     async def run(self) -> None:
-        """Relay if it is this router's turn, and pull what was missed, for good."""
+        """Act as a relay while selected, and pull missed revisions, until cancelled."""
         try:
             await self._run()
         finally:
-            # A push that comes while the process stops is taken, and not passed on.
+            # A push received while the process stops is applied but not forwarded.
             self._tasks = None
 
     def note_revision(self, revision: int, address: str) -> None:
-        """Note that a peer has a revision; pulls it in the background if higher."""
+        """Note the revision of a peer; if it is higher, pull it in the background."""
         if revision > self.revision:
             self._newer_peer = NewerPeer(revision, address)
             self._newer_revision.fire()
 
     async def catch_up(self, revision: int, address: str) -> bool:
-        """Pull from a peer unless ``revision`` is in force; tell whether it is now."""
+        """Pull from a peer unless ``revision`` is in force; return whether it is now."""
         async with self._pull_lock:
             if self.revision >= revision:
                 return True
@@ -106,7 +106,7 @@
         return self.revision >= revision
 
     def dump(self) -> dict[str, Any]:
-        """Return what is in force, for a state dump."""
+        """Return the revision in force for a state dump."""
         revision_state = self._revision_state
         return {
             'revision': revision_state.revision,
@@ -118,7 +118,7 @@
     async def _run(self) -> None:
         async with anyio.create_task_group() as group:
             self._tasks = group
-            group.start_soon(self._repair)
+            group.start_soon(self._pull_missed)
             if self._relay is not None:
                 group.start_soon(self._relay.run, self._rank, self._push)
 
@@ -130,7 +130,7 @@
         own = self._identity.instance
         return collectors.index(own) if own in collectors else _NO_RELAY
 
-    async def _repair(self) -> None:
+    async def _pull_missed(self) -> None:
         seen = 0
         while True:
             seen = await self._newer_revision.beyond(seen)
@@ -143,14 +143,14 @@
         deadline_unix_s = self._clock.now_s() + self._settings.pull_call_s
         try:
             reply = await self._peers.call(address, rpcs.PULL, message, deadline_unix_s)
-        except _NO_ANSWER:
+        except _CALL_FAILED:
             return False
         try:
-            whole = packing.unpacked_reply(reply)
+            unpacked = packing.unpacked_reply(reply)
         except packing.PackingError as error:
             events.UNREADABLE.log(error=str(error), source=address)
             return False
-        return self._adopt(whole.head, whole.parts, address)
+        return self._adopt(unpacked.head, unpacked.parts, address)
 
     def _adopt(self, raw: bytes, parts: Any, source: str) -> bool:
         if not raw:
@@ -162,7 +162,7 @@
         return self._revision_state.adopt(raw, head, bodies)
 
     def _push(self) -> None:
-        """Tell all that beat to this router, and the other data centres, in the background."""
+        """Push to the children of this router and the other data centres, in the background."""
         self._membership.tell_revision()
         if self._tasks is None:
             return
@@ -181,19 +181,19 @@
         deadline_unix_s = self._clock.now_s() + self._settings.pull_call_s
         try:
             await self._peers.call(address, rpcs.PUSH, message, deadline_unix_s)
-        except _NO_ANSWER:
-            # The revision on the next beat's reply has it pulled.
+        except _CALL_FAILED:
+            # The next heartbeat reply contains the revision, and the peer pulls it.
             return
 
     async def _pushed(self, message: members_pb2.PushRequest) -> members_pb2.PushReply:
         if message.revision <= self.revision:
             return members_pb2.PushReply(revision=self.revision, refused=True)
         try:
-            whole = packing.unpacked_push(message)
+            unpacked = packing.unpacked_push(message)
         except packing.PackingError as error:
             events.UNREADABLE.log(error=str(error), source=PUSHED)
             return members_pb2.PushReply(revision=self.revision)
-        if self._is_complete(whole) and self._adopt(whole.head, whole.parts, PUSHED):
+        if self._is_complete(unpacked) and self._adopt(unpacked.head, unpacked.parts, PUSHED):
             self._push()
         return members_pb2.PushReply(revision=self.revision)
 
@@ -210,8 +210,8 @@
         )
 
     def _is_complete(self, message: members_pb2.PushRequest) -> bool:
-        # A push carries what changed since the revision before; whoever missed
-        # that one hears of this revision on the next beat, and pulls.
+        # A push has only the parts changed since the previous revision.  An instance that
+        # missed that one gets this revision number on its next heartbeat, and pulls.
         head = self._revision_state.decode_next(message.head, PUSHED)
         if head is None:
             return False
--- a/packages/fleet/src/endivesaddle/fleet/distribution/relay.py
+++ b/packages/fleet/src/endivesaddle/fleet/distribution/relay.py
@@ -1,4 +1,4 @@
-"""Relays: the routers that watch the store for their data centre."""
+"""Relays: the routers that watch the store on behalf of their data centre."""
 
 from collections.abc import Callable
 
@@ -18,12 +18,12 @@
 
 
 class Relay:
-    """Watch the head while this router is a relay; the first relay reads it again too.
+    """Watches the head while this router is a relay; the first relay also polls it.
 
-    A watch can break without a word (something between the two ends forgets
-    it).  The first relay reads the head every few seconds: what a silent watch
-    missed is then late by that, and by no more, for one call of the store.  Each
-    watch is begun anew after a while, so that a deaf one is not kept for good.
+    A watch can break without an error if a device between the two ends drops the
+    connection.  The first relay therefore reads the head every few seconds: a change that
+    a broken watch misses is delayed by at most that interval, for one store call each time.
+    Each watch is restarted regularly, so that a broken one is replaced eventually.
     """
 
     def __init__(
@@ -33,7 +33,7 @@
         revision_state: RevisionState,
         clock: Clock,
     ) -> None:
-        """Relay nothing yet."""
+        """Initialize; ``run`` starts the watch."""
         self._settings = settings
         self._store = store
         self._revision_state = revision_state
@@ -42,9 +42,9 @@
         self._fetch_lock = anyio.Lock()
 
     async def run(self, rank: Callable[[], int], on_adopted: Callable[[], None]) -> None:
-        """Relay for good, whenever ``rank`` is 0 or 1; -1 is no relay."""
+        """Relay whenever ``rank`` is 0 or 1, not when it is -1; run until cancelled."""
         while True:
-            # A process that has just started knows no other router yet.
+            # A process that has just started doesn't know any other router yet.
             await anyio.sleep(self._settings.relay_check_s)
             if rank() >= 0:
                 events.RELAYING.log(place=rank())
@@ -72,7 +72,7 @@
         version = await self._read(on_adopted)
         async for stored in self._store.watch(revisions.HEAD_KEY, version):
             if stored.value is not None:
-                await self._take(stored.value, on_adopted)
+                await self._apply(stored.value, on_adopted)
 
     async def _reread(self, rank: Callable[[], int], on_adopted: Callable[[], None]) -> None:
         while True:
@@ -88,10 +88,10 @@
         self._log_store_state(answers=True, error='')
         if isinstance(stored, Absent) or stored.value is None:
             return 0
-        await self._take(stored.value, on_adopted)
+        await self._apply(stored.value, on_adopted)
         return stored.version
 
-    async def _take(self, raw: bytes, on_adopted: Callable[[], None]) -> None:
+    async def _apply(self, raw: bytes, on_adopted: Callable[[], None]) -> None:
         async with self._fetch_lock:
             head = self._revision_state.decode_next(raw, STORE)
             if head is None:
@@ -100,9 +100,9 @@
         if self._revision_state.adopt(raw, head, bodies):
             on_adopted()
 
-    async def _fetch(self, wanted: dict[str, str]) -> dict[str, bytes]:
+    async def _fetch(self, missing: dict[str, str]) -> dict[str, bytes]:
         bodies: dict[str, bytes] = {}
-        for digest in wanted.values():
+        for digest in missing.values():
             key = revisions.PARTS_PREFIX + digest
             stored = await self._store.read(key, self._deadline_unix_s())
             if not isinstance(stored, Absent) and stored.value is not None:
--- a/packages/fleet/src/endivesaddle/fleet/distribution/revision_state.py
+++ b/packages/fleet/src/endivesaddle/fleet/distribution/revision_state.py
@@ -1,4 +1,4 @@
-"""The revision in force in one process, with the parts it was made of."""
+"""The revision in force in one process, and its parts."""
 
 from collections.abc import Callable, Iterable, Mapping
 from typing import NamedTuple
@@ -11,7 +11,7 @@
 
 
 class CurrentRevision(NamedTuple):
-    """One revision: its head as stored and read, and its parts' bodies by digest."""
+    """One revision: its raw and decoded head, and the bodies of its parts by digest."""
 
     raw: bytes
     head: revisions.Head
@@ -19,14 +19,14 @@
 
 
 class RevisionState:
-    """Move to higher revisions only, each whole or not at all."""
+    """The current revision; it is only replaced by a complete, higher one."""
 
     def __init__(self, clock: Clock) -> None:
-        """Start before the first revision."""
+        """Initialize at revision 0."""
         self._clock = clock
         self.current = CurrentRevision(b'', revisions.empty_head(), {})
         self.previous_digests: frozenset[str] = frozenset()
-        """Digests of the revision before: a push carries only what they lack."""
+        """Digests of the previous revision: a push has only the parts not among them."""
         self.configuration = Configuration()
         self.in_force_unix_s = 0.0
         self.listeners: list[Callable[[Configuration], None]] = []
@@ -39,7 +39,7 @@
         return self.current.head['revision']
 
     def decode_next(self, raw: bytes, source: str) -> revisions.Head | None:
-        """Return a head that is to come into force, or None with an event."""
+        """Return the decoded head if it may come into force; otherwise log why and return None."""
         try:
             head = revisions.decode_head(raw)
         except revisions.RevisionError as error:
@@ -51,11 +51,11 @@
         return head if self._is_next(head, raw, source) else None
 
     def missing_parts(self, head: revisions.Head) -> dict[str, str]:
-        """Return name and digest of the parts of a head that are not here."""
+        """Return name and digest of the parts of a head that this process lacks."""
         return revisions.missing(head, self.current.bodies)
 
     def adopt(self, raw: bytes, head: revisions.Head, new: Mapping[str, bytes]) -> bool:
-        """Bring a revision into force, if it is whole and still higher."""
+        """Bring a revision into force if it is complete and still higher; return whether it was."""
         if head['revision'] <= self.revision:
             return False
         known = {**self.current.bodies, **new}
@@ -76,7 +76,7 @@
         return True
 
     def parts(self, have: Iterable[str]) -> list[members_pb2.Part]:
-        """Return the parts that a peer with some digests lacks."""
+        """Return the parts that a peer with the digests ``have`` lacks."""
         wanted = revisions.missing(self.current.head, have)
         return [
             members_pb2.Part(name=name, digest=digest, body=self.current.bodies[digest])
@@ -87,8 +87,8 @@
         revision = head['revision']
         if revision > self.revision:
             return True
-        # A store that was restored from a backup shows an older head: taking it
-        # would bring back budgets and servers that operators have since changed.
+        # A store restored from a backup has an older head: applying it would bring back
+        # budgets and servers that operators have changed since.
         older = revision < self.revision
         if (older or raw != self.current.raw) and (revision, source) not in self._logged_older:
             self._logged_older.add((revision, source))
--- a/packages/fleet/src/endivesaddle/fleet/distribution/settings.py
+++ b/packages/fleet/src/endivesaddle/fleet/distribution/settings.py
@@ -10,14 +10,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class DistributionSettings:
-    """How the relays watch the store, and how soon what was missed is noticed."""
+    """Intervals and timeouts of the relays' store calls and of pulls."""
 
     reread_s: float = _option(
-        'reread-s', 'seconds between reads of the head by one relay', 3.0, _seconds
+        'reread-s', 'seconds between reads of the head by the first relay', 3.0, _seconds
     )
-    watch_s: float = _option('watch-s', 'seconds after which a watch is begun anew', 60.0, _seconds)
+    watch_s: float = _option('watch-s', 'seconds after which a watch is restarted', 60.0, _seconds)
     relay_check_s: float = _option(
-        'relay-check-s', 'seconds between looks at who relays', 0.5, _seconds
+        'relay-check-s', 'seconds between checks which routers are relays', 0.5, _seconds
     )
     store_call_s: float = _option('store-call-s', 'seconds to wait for the store', 2.0, _seconds)
     pull_call_s: float = _option(
