--- a/features/steps/virtual_time_steps.py
+++ b/features/steps/virtual_time_steps.py
@@ -14,7 +14,7 @@
     context.subject.sleep(seconds)
 
 
-@then('the clock has moved by {seconds:d} seconds')
-def moved(context: Any, seconds: int) -> None:
-    """Compare the clock."""
-    assert round(context.subject.moved_s, 3) == seconds, context.subject.moved_s
+@then('the clock has advanced by {seconds:d} seconds')
+def advanced(context: Any, seconds: int) -> None:
+    """Check the elapsed time on the clock."""
+    assert round(context.subject.elapsed_s, 3) == seconds, context.subject.elapsed_s
--- a/features/subjects/virtual_time.py
+++ b/features/subjects/virtual_time.py
@@ -1,4 +1,4 @@
-"""Subject: the event loop in virtual time."""
+"""Subject: an event loop in virtual time."""
 
 import anyio
 
@@ -7,18 +7,18 @@
 
 
 class VirtualTime:
-    """Sleep on a virtual loop and read its clock."""
+    """Sleeps on a loop in virtual time and measures it by its clock."""
 
     def __init__(self) -> None:
-        """Start with nothing slept."""
-        self.moved_s = 0.0
+        """Initialize with no elapsed time."""
+        self.elapsed_s = 0.0
 
     def sleep(self, seconds: int) -> None:
-        """Sleep on a loop of its own."""
+        """Sleep on a new loop in virtual time."""
         virtual.run(lambda: self._sleep(seconds))
 
     async def _sleep(self, seconds: int) -> None:
         clock = LoopClock()
         began_unix_s = clock.now_s()
         await anyio.sleep(seconds)
-        self.moved_s = clock.now_s() - began_unix_s
+        self.elapsed_s = clock.now_s() - began_unix_s
