--- a/features/steps/store_relay_steps.py
+++ b/features/steps/store_relay_steps.py
@@ -41,7 +41,7 @@
     context.cut.sleep(seconds)
 
 
-@when('sidecar {number:d} stops answering')
+@when('sidecar {number:d} falls silent')
 def silence(context: Any, number: int) -> None:
     """Lose the sidecar's messages."""
     context.cut.silence(number)
--- a/features/store_relay.feature
+++ b/features/store_relay.feature
@@ -23,7 +23,7 @@
     Its machine lost power: calls to it hang until their deadline.
     Given 2 routers and 2 sidecars that share a total of 1000000 tokens
     When the routers are cut off from the store
-    And sidecar 0 stops answering
+    And sidecar 0 falls silent
     And the routers wait 3 seconds
     And router 0 spends 10000 tokens 10 times a second for 5 seconds
     Then no request was refused
