--- a/packages/fleet/src/endivesaddle/fleet/__init__.py
+++ b/packages/fleet/src/endivesaddle/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Settings, events, clock and the decisions of the fleet."""
+"""Settings, events, clocks and the core logic of the fleet."""
--- a/packages/fleet/src/endivesaddle/fleet/interfaces.py
+++ b/packages/fleet/src/endivesaddle/fleet/interfaces.py
@@ -1,7 +1,7 @@
-"""Borders between the parts of one router or sidecar, and the data that cross them.
+"""Interfaces between the components of a router or sidecar, and the data passed over them.
 
-A request passes them in this order: callers make a ``CallerRequest``; the
-front claims it (``Budgets``), has a backend server chosen (``Routing``),
+A request is processed in this order: ``callers`` creates a ``CallerRequest``; the
+``RequestHandler`` claims it (``Budgets``), has a backend server selected (``Routing``),
 starts and follows the run at a sidecar, and returns an ``Answer``.
 """
 
@@ -14,13 +14,13 @@
 
 
 class CallerRequest(NamedTuple):
-    """One request of a caller, checked and with its bound worked out.
+    """A validated request of a caller, with its worst-case cost.
 
-    ``request_id`` is the caller's Idempotency-Key, or made (then ``named`` is
-    False).  ``first_attempt`` is True only when the caller's retry counter says
-    so.  ``kind`` is engine or service.  ``path`` is the path on the backend
-    server.  ``bound_tokens`` is the worst case: prompt bound + max tokens, or
-    the service's cost.
+    ``request_id`` is the caller's Idempotency-Key, or generated (then ``named`` is
+    False).  ``first_attempt`` is True only if the caller's retry counter says
+    so.  ``kind`` is "engine" or "service".  ``path`` is the path on the backend
+    server.  ``bound_tokens`` is the worst case: bound of the prompt plus max tokens,
+    or the cost of the service.
     """
 
     account: str
@@ -44,14 +44,14 @@
 
     @property
     def key(self) -> str:
-        """The request key: one account can't name another's request."""
+        """The request key; it has the account, so accounts can't refer to each other's requests."""
         return f'{self.account}/{self.request_id}'
 
 
 class Answer(NamedTuple):
-    """An answer under way: ``chunks`` yields it whole, from its first byte.
+    """An answer in progress; ``chunks`` yields all of it, from the first byte.
 
-    ``chunks`` raises ``AnswerInterrupted`` when it can't be completed.
+    ``chunks`` raises ``AnswerInterrupted`` if the answer can't be completed.
     """
 
     status: int
@@ -61,27 +61,27 @@
 
 
 class AnswerInterrupted(Exception):
-    """A streamed answer can't be completed; ``refusal`` tells what is known."""
+    """A streamed answer can't be completed; ``refusal`` has the known details."""
 
     def __init__(self, refusal: Refusal) -> None:
-        """Carry what the caller is told."""
+        """Initialize with the refusal to return to the caller."""
         super().__init__(refusal.reason)
         self.refusal = refusal
 
 
 class RequestHandler(Protocol):
-    """What callers' requests are handed to in a router."""
+    """The component of a router that processes callers' requests."""
 
     async def serve(self, request: CallerRequest) -> Answer | Refusal:
-        """Claim, route and run a request, or attach to its run."""
+        """Claim, route and run a request, or attach to a run in progress."""
 
 
 class Reserved(NamedTuple):
     """A granted reservation, or the epoch under which a shard is held.
 
-    ``batch`` goes into the request's record: it tells a later holder whether the
-    settled tokens in the store include this reservation.  ``since_unix_s`` is when
-    this instance took the epoch; infinite where that isn't known.
+    ``batch`` is stored in the request's record, so that a later holder can determine
+    whether the settled tokens in the store include this reservation.  ``since_unix_s`` is
+    when this instance became the holder under the epoch; infinite if unknown.
     """
 
     shard: int
@@ -92,7 +92,7 @@
 
 
 class Budgets(Protocol):
-    """Budgets as the claims of a holder see them."""
+    """The budgets, as used by the claims of a holder."""
 
     async def reserve(
         self,
@@ -101,42 +101,42 @@
         bound_tokens: int,
         deadline_unix_s: float,
     ) -> Reserved | Refusal | NotHolder:
-        """Reserve the worst case, waiting up to the deadline where it may yet fit."""
+        """Reserve the worst case; wait until the deadline while it may still fit."""
 
     def settle(self, account: str, request_key: str, epoch: int, used_tokens: int) -> int:
-        """Settle a request once; return the billed tokens, also when repeated.
+        """Settle a request once; return the billed tokens, also on a repeated call.
 
-        Never bills beyond the reservation.  Used 0 releases it.
+        The bill never exceeds the reservation.  ``used_tokens`` of 0 releases it.
         """
 
     def held(self, account: str) -> Reserved | NotHolder:
-        """Tell under which epoch this instance holds the account's shard."""
+        """Return the epoch under which this instance holds the account's shard."""
 
     def recovered(self, account: str) -> bool:
-        """Tell whether all claims under older epochs of the shard are known here.
+        """Return whether all claims under older epochs of the shard are known on this instance.
 
-        Until then the holder can't say of a request that it did not run.
+        Until then the holder can't state that a request did not run.
         """
 
     def holder_address(self, account: str, data_centre: str) -> str:
-        """Return the address of the account's holder in a data centre ('' unknown)."""
+        """Return the address of the account's holder in a data centre, or '' if unknown."""
 
     def confirmed_unix_s(self, account: str) -> float:
         """Return when the store last confirmed that this instance holds the shard."""
 
 
 class ClaimRecovery(Protocol):
-    """What budgets tell the claims after a takeover."""
+    """The interface by which budgets pass recovered records to the claims after a takeover."""
 
     def adopt(self, shard: int, records: Sequence[holders_pb2.Record], complete: bool) -> None:
-        """Take in what ran under sealed epochs; ``complete``: nothing is missing."""
+        """Merge records of sealed epochs; ``complete`` means that none are missing."""
 
 
 class RoutingRequest(NamedTuple):
-    """What a request wants of a backend server.
+    """What a request requires of a backend server.
 
-    ``prefix_hashes`` are xxh3 hashes of the prompt's growing prefixes, block by
-    block, the shortest first.
+    ``prefix_hashes`` are xxh3 hashes of the prefixes of the prompt at block boundaries,
+    the shortest prefix first.
     """
 
     request_key: str
@@ -153,7 +153,7 @@
 
 
 class Choice(NamedTuple):
-    """A chosen backend server and the address of its sidecar."""
+    """A selected backend server and the address of its sidecar."""
 
     server: str
     sidecar: str
@@ -161,30 +161,30 @@
 
 
 class Routing(Protocol):
-    """Admission and choice of backend servers in a router."""
+    """Admission of requests and selection of backend servers in a router."""
 
     async def admit(
         self, routing_request: RoutingRequest, exclude: frozenset[str] = frozenset()
     ) -> Choice | Refusal:
-        """Choose a backend server, waiting in a bounded queue if need be."""
+        """Select a backend server; wait in a bounded queue if necessary."""
 
     def first_token(self, choice: Choice, routing_request: RoutingRequest) -> None:
-        """Learn that the first token came."""
+        """Record that the first token of a run arrived."""
 
     def ended(
         self, choice: Choice, routing_request: RoutingRequest, ok: bool, used_tokens: int
     ) -> None:
-        """Learn that a run ended, well or not; always called once after ``admit``."""
+        """Record the end of a run, successful or not; called exactly once after ``admit``."""
 
     def may_retry(self, account: str) -> bool:
-        """Spend from the retry budget; False when it is used up."""
+        """Take one retry from the retry budget; return False if it is used up."""
 
 
 class EngineEvent(NamedTuple):
-    """A piece of a backend server's answer, in order.
+    """One event of a backend server's answer.
 
-    First one with ``status`` and ``headers``, then ones with ``data``; the last
-    has ``ended`` and, where the engine reports it, ``used_tokens`` (else -1).
+    The first has ``status`` and ``headers``, the following ones ``data``.  The last one has
+    ``ended`` and, if the engine reports them, ``used_tokens`` (otherwise -1).
     """
 
     data: bytes = b''
@@ -195,33 +195,33 @@
 
 
 class BackendServerClient(Protocol):
-    """One backend server, as its sidecar reaches it."""
+    """A client of one backend server, used by its sidecar."""
 
     def run(self, message: runs_pb2.StartRequest) -> AsyncIterator[EngineEvent]:
-        """Send a request and yield its answer.
+        """Send a request and yield the events of its answer.
 
-        Raises ``NeverSent`` (the server did not get it) or ``ServerLost`` (it may
+        Raises ``NeverSent`` (the server did not receive it) or ``ServerLost`` (it may
         have run).  Closing the iterator cancels the run on the server.
         """
 
     async def load(self) -> runs_pb2.Load:
-        """Return the server's own load report; raises ``ServerLost``."""
+        """Return the load reported by the server itself; raises ``ServerLost``."""
 
     async def order(self, message: runs_pb2.OrderRequest) -> runs_pb2.OrderReply:
-        """Give the server an order with its fencing number."""
+        """Send an order with its fencing number to the server."""
 
 
 class NeverSent(Exception):
-    """The backend server was not reached: it did not run the request."""
+    """The backend server was unreachable and did not run the request."""
 
 
 class ServerLeft(NeverSent):
-    """The backend server began to leave before the request was on its way."""
+    """The backend server started to leave before the request was sent."""
 
 
 class ServerRefused(NeverSent):
-    """Nobody listens at the backend server's address: its process has ended."""
+    """The backend server refused the connection because its process has ended."""
 
 
 class ServerLost(Exception):
-    """The backend server broke off or fell silent: it may have run the request."""
+    """The connection failed or timed out; the backend server may have run the request."""
--- a/packages/fleet/src/endivesaddle/fleet/sentinels.py
+++ b/packages/fleet/src/endivesaddle/fleet/sentinels.py
@@ -1,22 +1,22 @@
-"""Sentinel values with a reason, returned where an answer can't be given.
+"""Sentinel values with a reason, returned instead of a regular result.
 
-They are ordinary results that a caller must look at, so they are values and
-not exceptions; exceptions are kept for broken links and broken programs.
+They are expected outcomes that a caller has to handle, so they are return values;
+exceptions are reserved for failed connections and programming errors.
 """
 
 from typing import NamedTuple
 
 
 class Absent(NamedTuple):
-    """Nothing is there, and why."""
+    """The requested value doesn't exist, with the reason."""
 
     reason: str
 
 
 class Conflict(NamedTuple):
-    """A compare-and-swap lost against another write.
+    """A compare-and-swap failed because another write came first.
 
-    ``value`` is what lies there now, None where the store does not tell.
+    ``value`` is the current value, or None if the store doesn't return it.
     """
 
     reason: str
@@ -25,11 +25,11 @@
 
 
 class Refusal(NamedTuple):
-    """A request that is turned away.
+    """The refusal of a request.
 
-    ``code`` is stable and listed in docs/REFUSALS.md.  ``not_run`` is "true",
-    "false" or "unknown" and speaks of the request as a whole: "true" only where
-    no backend server got it nor will.  ``retry_after_s`` is 0 without advice.
+    ``code`` is stable and listed in docs/REFUSALS.md.  ``not_run`` is "true", "false" or
+    "unknown" and applies to the request as a whole: "true" only if no backend server has
+    received it or will receive it.  ``retry_after_s`` is 0 if there is no recommendation.
     """
 
     code: str
@@ -40,15 +40,15 @@
 
 
 class NotHolder(NamedTuple):
-    """This instance doesn't hold the shard; ``holder`` may ('' if not known)."""
+    """This instance doesn't hold the shard; ``holder`` probably does ('' if unknown)."""
 
     reason: str
     holder: str
 
 
 NOT_RUN = 'true'
-"""The request did not run anywhere, and won't."""
+"""The request did not run anywhere and will not run."""
 HAS_RUN = 'false'
 """The request ran, or may still be running."""
 RUN_UNKNOWN = 'unknown'
-"""Whether the request ran can't be told."""
+"""It is unknown whether the request ran."""
--- a/packages/fleet/src/endivesaddle/fleet/settings.py
+++ b/packages/fleet/src/endivesaddle/fleet/settings.py
@@ -1,10 +1,9 @@
-"""Settings: flags and environment variables, checked at start.
+"""Settings from flags and environment variables, validated at startup.
 
-Each part of the fleet has a frozen dataclass of its own, passed whole to what
-it settles; the commands of ``endivesaddled`` put them together with
-``cappa.Arg.destructured()``.  ``option`` gives each field its flag, its
-variable ``ENDIVESADDLE_<FLAG>`` and its check, so that a wrong value is told
-in one line that names all three.
+Each component has its own frozen dataclass of settings, which is passed to it as a whole;
+the commands of ``endivesaddled`` combine them with ``cappa.Arg.destructured()``.
+``option`` gives each field its flag, its environment variable ``ENDIVESADDLE_<FLAG>`` and
+its check, so that an invalid value is reported in one line that names all three.
 """
 
 import dataclasses
@@ -13,9 +12,9 @@
 
 PREFIX = 'ENDIVESADDLE_'
 REQUIRED = object()
-"""The default of a setting that has to be given."""
+"""The default of a required setting."""
 COMMAND_LINE = 'cappa'
-"""Where the library of the command line looks for a field's argument."""
+"""The metadata key under which ``cappa`` expects the argument of a field."""
 
 
 def variable(flag: str) -> str:
@@ -29,9 +28,9 @@
     default: Any = REQUIRED,
     parse: Callable[[str], Any] | None = None,
 ) -> Any:
-    """Return the dataclass field of a setting; its default holds in tests, too.
+    """Return the dataclass field of a setting; its default also applies in tests.
 
-    Without a default the flag or its variable has to be given.
+    Without a default, either the flag or its environment variable is required.
     """
     metadata = _Argument(flag, help_text, default, parse)
     if default is REQUIRED:
@@ -40,31 +39,31 @@
 
 
 class _Argument(Mapping[str, Any]):
-    """A field's argument, made where the command line asks for it."""
+    """Field metadata that creates the command-line argument on access."""
 
     def __init__(self, *declared: Any) -> None:
-        """Take what ``arguments.argument`` takes."""
+        """Initialize with the arguments of ``arguments.argument``."""
         self._declared = declared
 
     def __getitem__(self, key: str) -> Any:
-        """Return the argument."""
+        """Return the command-line argument of the field."""
         if key != COMMAND_LINE:
             raise KeyError(key)
-        from endivesaddle.fleet.arguments import argument  # noqa: PLC0415 (see there)
+        from endivesaddle.fleet.arguments import argument  # noqa: PLC0415 (imports cappa)
 
         return argument(*self._declared)
 
     def __iter__(self) -> Iterator[str]:
-        """Name the one key."""
+        """Iterate over the only key."""
         return iter((COMMAND_LINE,))
 
     def __len__(self) -> int:
-        """Count it."""
+        """Return the number of keys, 1."""
         return 1
 
 
 def number(low: float, high: float) -> Callable[[str], float]:
-    """Return a parser of numbers within bounds, both included."""
+    """Return a parser of numbers from ``low`` to ``high``, both inclusive."""
 
     def parse(text: str) -> float:
         allowed = f'a number from {low} to {high} is'
@@ -80,7 +79,7 @@
 
 
 def integer(low: int, high: int) -> Callable[[str], int]:
-    """Return a parser of whole numbers within bounds, both included."""
+    """Return a parser of integers from ``low`` to ``high``, both inclusive."""
 
     def parse(text: str) -> int:
         allowed = f'a whole number from {low} to {high} is'
@@ -96,7 +95,7 @@
 
 
 def choice(*names: str) -> Callable[[str], str]:
-    """Return a parser that takes one of some words."""
+    """Return a parser that accepts one of the given names."""
 
     def parse(text: str) -> str:
         if text not in names:
@@ -107,12 +106,12 @@
 
 
 def name_list(text: str) -> tuple[str, ...]:
-    """Parse names or addresses separated by commas."""
+    """Parse a comma-separated list of names or addresses."""
     return tuple(part.strip() for part in text.split(',') if part.strip())
 
 
 def name_value_pairs(text: str) -> tuple[str, ...]:
-    """Parse entries "name=value" separated by commas."""
+    """Parse a comma-separated list of "name=value" entries."""
     entries = name_list(text)
     for entry in entries:
         name, _, value = entry.partition('=')
@@ -122,7 +121,7 @@
 
 
 def address(text: str) -> str:
-    """Parse "ip:port"."""
+    """Check that a text has the form "ip:port", and return it."""
     host, _, port = text.rpartition(':')
     if not host or not port.isdigit() or int(port) > 65535:
         raise ValueError('an IP number and a port such as 127.0.0.1:7001 is')
--- a/packages/fleet/src/endivesaddle/fleet/view.py
+++ b/packages/fleet/src/endivesaddle/fleet/view.py
@@ -1,4 +1,4 @@
-"""What one instance knows of the others and of the configuration, in one place."""
+"""The view that one instance has of the other instances and the configuration."""
 
 from collections.abc import Sequence
 
@@ -10,30 +10,30 @@
 
 
 class View:
-    """The port ``FleetView`` over membership and distribution."""
+    """Implementation of ``FleetView`` by membership and distribution."""
 
     def __init__(self, membership: Membership, distribution: Distribution) -> None:
-        """Join the two."""
+        """Initialize with the membership and the distribution of one instance."""
         self._membership = membership
         self._distribution = distribution
 
     @property
     def configuration(self) -> Configuration:
-        """The configuration in force here."""
+        """The configuration in force on this instance."""
         return self._distribution.configuration
 
     def members(self, role: str, data_centre: str = '') -> Sequence[members_pb2.Member]:
-        """Return live and suspect members of a role, in one data centre or all."""
+        """Return the live and suspect members of a role, in one data centre or in all."""
         return self._membership.members(role, data_centre)
 
     def leaving(self, instance: str) -> bool:
-        """Tell whether an instance said that it leaves, or is gone."""
+        """Return whether an instance announced that it is leaving, or has left or failed."""
         return self._membership.leaving(instance)
 
     def loads(self) -> dict[str, runs_pb2.Load]:
-        """Return the last load report by backend server name.
+        """Return the latest load report of each backend server by name.
 
-        For a server of a large data centre elsewhere it is the mean of all there.
+        For a server in another, large data centre it is the mean over that data centre.
         """
         reports = self._membership.loads()
         for server in self.configuration.servers.values():
@@ -43,5 +43,5 @@
         return reports
 
     def sidecar_of(self, server: str) -> str:
-        """Return the address of the sidecar beside a backend server, or ''."""
+        """Return the address of the sidecar of a backend server, or '' if unknown."""
         return self._membership.sidecar_of(server)
