--- a/features/subjects/config_bench.py
+++ b/features/subjects/config_bench.py
@@ -1,4 +1,4 @@
-"""What tools/bench_config.py measures: fleets, counters and the ways to distribute."""
+"""Fleets, counters and distribution variants for tools/bench_config.py."""
 
 import dataclasses
 import functools
@@ -25,7 +25,7 @@
 
 
 class Size(NamedTuple):
-    """How many processes: routers and sidecars by data centre."""
+    """The size of a fleet: routers and sidecars for each data centre, and accounts."""
 
     name: str
     routers: tuple[int, ...]
@@ -40,10 +40,10 @@
 
 
 class Operators:
-    """Accept changes of one account each, as ``endivesaddle apply`` writes them."""
+    """Writes changes of one account each, like ``endivesaddle apply``."""
 
     def __init__(self, fleet: Fleet, accounts: int) -> None:
-        """Start before the first revision."""
+        """Initialize at revision 0."""
         self._fleet = fleet
         self._accounts = {
             f'account-{number:05}': _account(f'account-{number:05}', 0)
@@ -62,7 +62,7 @@
         self.accepted_unix_s: dict[int, float] = {}
 
     async def change(self) -> int:
-        """Accept one change; return its revision."""
+        """Write one change and return its revision."""
         revision = len(self.accepted_unix_s) + 1
         name = f'account-{revision * 37 % len(self._accounts):05}'
         self._accounts[name] = _account(name, revision)
@@ -78,10 +78,10 @@
 
 
 class Lags:
-    """How long after its acceptance each revision was in force at each process."""
+    """The delay from the acceptance of a revision until it is in force, for each process."""
 
     def __init__(self, fleet: Fleet, operators: Operators) -> None:
-        """Start with nothing noted."""
+        """Initialize without measurements."""
         self._fleet = fleet
         self._operators = operators
         self._at: dict[str, int] = {}
@@ -89,7 +89,7 @@
         self.found_s: dict[int, dict[str, float]] = {}
 
     def note(self, name: str, configuration: Configuration) -> None:
-        """Note that a revision, and all below it, came into force at a process."""
+        """Record that a revision and all lower ones came into force at a process."""
         now_unix_s = self._fleet.clock.now_s()
         for revision in range(self._at.get(name, 0) + 1, configuration.revision + 1):
             accepted_unix_s = self._operators.accepted_unix_s.get(revision, now_unix_s)
@@ -97,12 +97,12 @@
         self._at[name] = configuration.revision
 
     def begin(self, name: str) -> None:
-        """Follow a process from the next revision on."""
+        """Measure a process from the next revision on."""
         self.followed.add(name)
         self._at[name] = len(self._operators.accepted_unix_s)
 
     def since(self, revision: int) -> list[float]:
-        """Return all lags of the revisions from one on, sorted."""
+        """Return the lags of this and all later revisions, sorted."""
         chosen = [lags.values() for found, lags in self.found_s.items() if found >= revision]
         return sorted(itertools.chain.from_iterable(chosen))
 
@@ -113,30 +113,30 @@
 
 @dataclasses.dataclass
 class Traffic:
-    """Bytes and calls of each address, both ways."""
+    """Bytes sent and received, and calls, for each address."""
 
     sent_bytes: Counter[str] = dataclasses.field(default_factory=Counter)
-    got_bytes: Counter[str] = dataclasses.field(default_factory=Counter)
+    received_bytes: Counter[str] = dataclasses.field(default_factory=Counter)
     calls: Counter[str] = dataclasses.field(default_factory=Counter)
 
-    def both_ways(self, address: str) -> int:
-        """Return the bytes that one address sent and got."""
-        return self.sent_bytes[address] + self.got_bytes[address]
+    def total_bytes(self, address: str) -> int:
+        """Return the bytes that one address sent and received."""
+        return self.sent_bytes[address] + self.received_bytes[address]
 
     async def observe(self, moment: Moment) -> None:
-        """Count one message; a reply goes from receiver to sender."""
+        """Count one message; a reply is sent by the receiver of the call."""
         size = moment.message.ByteSize()
         ends = (moment.sender, moment.receiver)
         sender, receiver = ends if moment.phase == 'asked' else reversed(ends)
         self.sent_bytes[sender] += size
-        self.got_bytes[receiver] += size
+        self.received_bytes[receiver] += size
         if moment.phase == 'asked':
             self.calls[sender] += 1
             self.calls[receiver] += 1
 
 
-def built(group: Any, size: Size) -> Fleet:
-    """Start a fleet with membership and distribution, and reports of changing load."""
+def build_fleet(group: Any, size: Size) -> Fleet:
+    """Start a fleet with membership and distribution, with changing load reports."""
     fleet = Fleet.over_stand_ins(group)
     names = [f'dc-{number}' for number in range(len(size.routers))]
     seeds = [f'{name}/r0' for name in names]
@@ -149,27 +149,27 @@
 
 
 class Direct:
-    """The plain alternative: every process watches the store for itself."""
+    """The alternative without relays: every process watches the store itself."""
 
     def __init__(self, fleet: Fleet, settings: DistributionSettings, reread: bool) -> None:
-        """Start no process yet; ``reread`` has each read the head again as relays do."""
+        """Initialize; with ``reread`` each process polls the head like the first relay."""
         self._fleet = fleet
         self._settings = settings
         self._rank = 0 if reread else 1
         self.revision_states: dict[str, RevisionState] = {}
 
     def start(self, group: Any, size: Size) -> None:
-        """Start as many processes as a fleet of that size has."""
+        """Start as many processes as a fleet of that size."""
         for number in range(sum(size.routers) + sum(size.sidecars)):
             name = f'process-{number}'
             revision_state = RevisionState(self._fleet.clock)
             store: Any = LinkedStore(self._fleet.store, name, self._fleet.faults)
             relay = Relay(self._settings, store, revision_state, self._fleet.clock)
             self.revision_states[name] = revision_state
-            group.start_soon(relay.run, self._find_rank, _nothing)
+            group.start_soon(relay.run, self._find_rank, _ignore)
 
     def follow(self, lags: Lags) -> None:
-        """Note the lags at all processes."""
+        """Record the lags of all processes."""
         for name, revision_state in self.revision_states.items():
             revision_state.listeners.append(functools.partial(lags.note, name))
 
@@ -178,7 +178,7 @@
 
 
 def follow(fleet: Fleet, lags: Lags) -> None:
-    """Note the lags at the instances of a fleet that aren't followed yet."""
+    """Record the lags of the instances that aren't measured yet."""
     for name in fleet.nodes.keys() - lags.followed:
         lags.begin(name)
         fleet.nodes[name].distribution.on_change(functools.partial(lags.note, name))
@@ -206,41 +206,41 @@
     )
 
 
-def share(found: list[float], part: float) -> float:
+def percentile(found: list[float], part: float) -> float:
     """Return a percentile of sorted values."""
     return found[min(len(found) - 1, int(part * len(found)))]
 
 
 def watching(fleet: Fleet) -> int:
-    """Return how many watches wait in the store now."""
+    """Return the number of watches open at the store."""
     return len(fleet.faults.watching)
 
 
 def shared_assemble() -> Callable[..., Any]:
-    """Return ``revisions.assemble`` that keeps one result for all processes.
+    """Return a ``revisions.assemble`` that shares its last result between all processes.
 
-    A thousand processes in one would hold a thousand equal configurations.
+    A thousand simulated processes would otherwise hold a thousand equal configurations.
     """
-    known: dict[bytes, Configuration] = {}
+    cached: dict[bytes, Configuration] = {}
     assemble = revisions.assemble
 
     def shared(head: revisions.Head, found: Any) -> Configuration:
         key = revisions.encode_head(head)
-        if key not in known:
-            known.clear()
-            known[key] = assemble(head, found)
-        return known[key]
+        if key not in cached:
+            cached.clear()
+            cached[key] = assemble(head, found)
+        return cached[key]
 
     return shared
 
 
 def cpu_s() -> float:
-    """Return the processor seconds of this process so far."""
+    """Return the processor time of this process so far, in seconds."""
     return time.process_time()
 
 
 def roles(fleet: Fleet) -> Iterator[tuple[str, list[str]]]:
-    """Yield the addresses of each role; the two collectors of a data centre apart."""
+    """Yield the addresses by role, with the two collectors of each data centre separate."""
     first = {name for node in fleet.nodes.values() for name in _collectors(node)}
     yield 'first two routers', [f'at:{name}' for name in sorted(first)]
     others = [name for name in fleet.nodes if '/r' in name and name not in first]
@@ -274,5 +274,5 @@
         await anyio.sleep(_REPORT_S)
 
 
-def _nothing() -> None:
-    """Have nobody to tell."""
+def _ignore() -> None:
+    """Do nothing when a revision is adopted."""
--- a/tools/bench_config.py
+++ b/tools/bench_config.py
@@ -159,7 +159,7 @@
 
 async def _tree(size: bench.Size, cases: list[str], changes: int, skip_rest: bool) -> None:
     async with anyio.create_task_group() as group:
-        fleet = bench.built(group, size)
+        fleet = bench.build_fleet(group, size)
         operators = bench.Operators(fleet, size.accounts)
         lags = bench.Lags(fleet, operators)
         bed = Bed(fleet, operators, lags, lambda: set(fleet.nodes))
@@ -199,7 +199,7 @@
     took_s = bed.fleet.clock.now_s() - began_unix_s
     reads = bed.fleet.store.calls['read'] - before['read']
     missing = bed.lags.missing(bed.names(), len(bed.operators.accepted_unix_s))
-    lags_s = ' | '.join(f'{bench.share(found, part):.3f}' for part in (0.5, 0.99, 1))
+    lags_s = ' | '.join(f'{bench.percentile(found, part):.3f}' for part in (0.5, 0.99, 1))
     print(
         f'| {label} | {len(found)} | {lags_s} | {len(missing)}'
         f' | {bench.watching(bed.fleet)} | {reads / took_s:.2f} |',
@@ -216,7 +216,7 @@
     print('| role | processes | bytes/s mean | bytes/s most | calls/s mean | calls/s most |')
     print('|---|---|---|---|---|---|')
     for role, addresses in bench.roles(bed.fleet):
-        rates = [traffic.both_ways(address) / BYTES_S for address in addresses]
+        rates = [traffic.total_bytes(address) / BYTES_S for address in addresses]
         calls = [traffic.calls[address] / BYTES_S for address in addresses]
         print(
             f'| {role} | {len(addresses)} | {sum(rates) / len(rates):.0f} | {max(rates):.0f}'
