--- a/features/steps/leaving_servers_steps.py
+++ b/features/steps/leaving_servers_steps.py
@@ -4,30 +4,30 @@
 
 from behave import given, then, when
 
-from subjects.leaving_servers import SERVICE, LateAnswer, LeavingServers
+from subjects.leaving_servers import SERVICE, DelayedAnswer, LeavingFleet
 from subjects.slow_connections import SlowConnections
 
 
-@given('{routers:d} routers that follow the entries of {servers:d} servers')
+@given('{routers:d} routers that watch the entries of {servers:d} servers')
 def start(context: Any, routers: int, servers: int) -> None:
     """Start them without sidecars."""
     start_with_sidecars(context, routers, servers, 0)
 
 
 @given(
-    '{routers:d} routers that follow the entries of {servers:d} servers '
+    '{routers:d} routers that watch the entries of {servers:d} servers '
     'through {sidecars:d} sidecars'
 )
 def start_with_sidecars(context: Any, routers: int, servers: int, sidecars: int) -> None:
     """Start them."""
-    context.play = LeavingServers(routers, servers, sidecars)
+    context.play = LeavingFleet(routers, servers, sidecars)
     context.add_cleanup(context.play.close)
 
 
-@given('a router that another one told as of version {version:d} that the only server leaves')
-def told(context: Any, version: int) -> None:
-    """Tell it."""
-    context.play = LateAnswer(version)
+@given('a router to which another reported as of version {version:d} that the only server leaves')
+def report(context: Any, version: int) -> None:
+    """Send it the report."""
+    context.play = DelayedAnswer(version)
 
 
 @when("the store's list of version {version:d} arrives, in which the server takes requests")
@@ -38,7 +38,7 @@
 
 @then('the router does not choose the server')
 def not_chosen_late(context: Any) -> None:
-    """Look what it may choose."""
+    """Check which servers it may choose."""
     assert not context.play.routing_state.available_servers(SERVICE)
 
 
@@ -49,22 +49,24 @@
     context.add_cleanup(context.play.close)
 
 
-@when('router {router:d} hears no more of the store')
+@when('router {router:d} gets no more answers of the store')
 def silence(context: Any, router: int) -> None:
-    """Let the answers to it vanish."""
+    """Drop the answers to it."""
     context.play.silence(router)
 
 
-@when('{seconds:g} seconds later server {server:d} says that it leaves')
+@when('{seconds:g} seconds later server {server:d} announces that it leaves')
 def leave(context: Any, seconds: float, server: int) -> None:
-    """Write its word."""
+    """Write its announcement."""
     context.play.sleep(seconds)
     context.play.leave(server)
 
 
-@when('{seconds:g} seconds later router {router:d} knows of it, and hears no more of the store')
+@when(
+    '{seconds:g} seconds later router {router:d} knows of it, and gets no more answers of the store'
+)
 def silence_later(context: Any, seconds: float, router: int) -> None:
-    """Look what it knows after a while, and let the answers to it vanish."""
+    """Check that it knows, then drop the answers to it."""
     context.play.sleep(seconds)
     assert not context.play.chosen(router, 0, seconds)
     context.play.silence(router)
@@ -72,30 +74,30 @@
 
 @then('router {router:d} does not choose server {server:d} in the next {seconds:d} seconds')
 def not_chosen(context: Any, router: int, server: int, seconds: int) -> None:
-    """Look all the while."""
+    """Check during all that time."""
     assert not context.play.chosen(router, server, seconds)
 
 
-@when('a request is sent, and {seconds:g} seconds later the chosen server says that it leaves')
+@when('a request is sent, and {seconds:g} seconds later the chosen server announces that it leaves')
 def request(context: Any, seconds: float) -> None:
-    """Carry it to its end."""
+    """Send it."""
     context.play.request(seconds)
 
 
-@then('the caller gets the answer of another server')
+@then('the caller gets the response of another server')
 def answered(context: Any) -> None:
-    """Look at what the caller has."""
+    """Check what the caller got."""
     assert context.play.runs.sink.status == 200, context.play.runs.sink.refusal
     assert context.play.runs.sink.body == b'body'
 
 
-@then('the server that left was sent nothing')
+@then('the server that left received nothing')
 def untouched(context: Any) -> None:
-    """Look at what arrived there."""
+    """Check that nothing arrived there."""
     assert not context.play.network.sent[context.play.left]
 
 
-@when('the sidecars are gone, and stay on record')
+@when('the sidecars are gone, but stay registered')
 def lose(context: Any) -> None:
     """Lose their machines."""
     context.play.lose_sidecars()
@@ -103,11 +105,11 @@
 
 @when('all routers are watched for {seconds:d} seconds')
 def observe(context: Any, seconds: int) -> None:
-    """Look all the while who takes the store for lost."""
+    """Collect the routers that take the store for lost."""
     context.lost = context.play.lost(seconds)
 
 
 @then('no router took the store for lost')
 def none_lost(context: Any) -> None:
-    """Compare with what was seen."""
+    """Check that there were none."""
     assert not context.lost, context.lost
--- a/features/steps/word_of_leaving_steps.py
+++ b/features/steps/word_of_leaving_steps.py
@@ -27,33 +27,33 @@
 
 @when('the store is down for all of them')
 def lose_store(context: Any) -> None:
-    """Take it away, and let them notice."""
+    """Take it down, and let them notice."""
     context.play.lose_store(True)
     context.play.sleep(1)
 
 
-@when('the store is back, where server {server:d} writes its entry anew as one that takes requests')
+@when('the store is back, where server {server:d} rewrites its entry as not leaving')
 def regain_store(context: Any, server: int) -> None:
     """Bring it back."""
     context.play.lose_store(False)
     context.play.enter(server)
 
 
-@when('server {server:d} leaves, and says so in answers with status {status:d}')
+@when('server {server:d} leaves, and announces it in responses with status {status:d}')
 def leave(context: Any, server: int, status: int) -> None:
-    """Have it say so."""
+    """Set the headers of its responses."""
     context.play.servers[server].leave(status)
 
 
-@when('server {server:d} turns requests away, and wants none for {seconds:d} seconds')
+@when('server {server:d} declines requests, with a retry time of {seconds:d} seconds')
 def turn_away(context: Any, server: int, seconds: int) -> None:
-    """Have it say so."""
+    """Set the headers of its responses."""
     context.play.servers[server].turn_away(str(seconds))
 
 
-@when('server {server:d} turns requests away, and says "retry-after: {word}"')
-def turn_away_saying(context: Any, server: int, word: str) -> None:
-    """Have it say so."""
+@when('server {server:d} declines requests, with "retry-after: {word}"')
+def decline_with_text(context: Any, server: int, word: str) -> None:
+    """Set the headers of its responses."""
     context.play.servers[server].turn_away(word)
 
 
@@ -63,15 +63,15 @@
     context.play.meet(router, 0)
 
 
-@when('router {router:d} has met that')
+@when('router {router:d} got such a response')
 def meet(context: Any, router: int) -> None:
-    """Send requests until server 0 has turned one away."""
+    """Send requests until server 0 has declined one."""
     context.play.meet(router, 0)
 
 
 @when('server {server:d} starts again under its name')
 def start_again(context: Any, server: int) -> None:
-    """Have its next life answer well and write its entry."""
+    """Have its next incarnation answer with 200 and write its entry."""
     context.play.servers[server].status = 200
     context.play.servers[server].headers = b''
     context.play.enter(server, LATER_BORN_UNIX_MS)
@@ -111,14 +111,14 @@
 
 @then('each of them was answered by another server')
 def answered(context: Any) -> None:
-    """Look at what the callers have."""
+    """Check what the callers got."""
     assert context.play.sinks
     assert {sink.status for sink in context.play.sinks} == {200}
 
 
 @then('each of them was told to come back in {low:g} to {high:g} seconds')
 def told(context: Any, low: float, high: float) -> None:
-    """Look at what the callers have."""
+    """Check what the callers got."""
     assert context.play.sinks
     for sink in context.play.sinks:
         assert sink.status == 503
--- a/features/subjects/crashing_fleet.py
+++ b/features/subjects/crashing_fleet.py
@@ -1,4 +1,4 @@
-"""Subject: routers, and servers whose processes end under one certain request."""
+"""Subject: routers, and servers whose processes crash under one certain request."""
 
 import asyncio
 import itertools
@@ -24,9 +24,9 @@
 START_S = 3.0
 RUN_S = 0.05
 DEADLINE_S = 10.0
-LAPSE_S = 1.4
-"""The entry of a server that ended is gone from the store after this."""
-BACK_S = 2.0
+EXPIRY_S = 1.4
+"""The entry of a crashed server expires after this."""
+RESTART_S = 2.0
 AT_ONCE_S = 0.1
 WRITTEN = 'endivesaddle/'
 FATAL = b'fatal'
@@ -43,32 +43,32 @@
     account: str
 
 
-class EndingServers:
-    """Servers by address; the process of one ends as it runs the fatal request."""
+class CrashingServers:
+    """Servers by address; the process of a server crashes when it runs the fatal request."""
 
     def __init__(self, store: MemoryStore, clock: LoopClock, count: int) -> None:
         """Start ``count`` of them."""
         self.arrived: list[Arrival] = []
-        self.ends_unix_s: list[float] = []
+        self.crashes_unix_s: list[float] = []
         self.breaking = 0
         self.silent = False
-        self.hangs = False
+        self.hanging_connections = False
         self.same_names = False
-        self.open = False
+        self.open_addresses = False
         self._store = store
         self._clock = clock
-        self._lives = itertools.count()
+        self._incarnations = itertools.count()
         self._running: dict[str, asyncio.Event] = {}
-        self._at: dict[str, str] = {}
+        self._addresses: dict[str, str] = {}
         self._tasks: set[asyncio.Future[None]] = set()
         for number in range(count):
-            self._begin(f'10.0.2.{number}:1')
+            self._start_server(f'10.0.2.{number}:1')
 
     @asynccontextmanager
     async def exchange(self, call: ServerCall) -> AsyncIterator[ScriptedAnswer]:
-        """Run a request, unless the process has ended or ends meanwhile."""
+        """Run a request, unless the process has crashed or crashes in the meantime."""
         await anyio.sleep(0.001)
-        ended = self._life(call.server)
+        crashed = self._process(call.server)
         request = call.request
         account = request.account.name if request.account else ''
         self.arrived.append(Arrival(self._clock.now_s(), request.body, account))
@@ -76,51 +76,51 @@
             self.breaking -= 1
             raise ServerLost('the connection closed')
         with anyio.move_on_after(RUN_S):
-            await ended.wait()
+            await crashed.wait()
         if request.body == FATAL:
-            self.end(call.server.lifetime)
-        if ended.is_set() and self.hangs:
+            self.crash(call.server.lifetime)
+        if crashed.is_set() and self.hanging_connections:
             await anyio.sleep_forever()
-        if ended.is_set():
+        if crashed.is_set():
             raise ServerLost('the connection closed')
         yield ScriptedAnswer(call)
 
     async def check(self, server: RouteServer) -> None:
-        """Connect, as a router does to learn whether a server still listens."""
+        """Connect, as a router does to check whether a server still listens."""
         await anyio.sleep(0.001)
         if self.silent and server.lifetime not in self._running:
             await anyio.sleep_forever()
-        if not self.open:
-            self._life(server)
-
-    def end(self, lifetime: str) -> None:
-        """End a server's process; it is back after a while under another name."""
-        ended = self._running.pop(lifetime, None)
-        if ended is not None:
-            ended.set()
-            self.ends_unix_s.append(self._clock.now_s())
-            task = asyncio.ensure_future(self._come_back(lifetime))
+        if not self.open_addresses:
+            self._process(server)
+
+    def crash(self, lifetime: str) -> None:
+        """Crash a server's process; it restarts after a while, by default under another name."""
+        crashed = self._running.pop(lifetime, None)
+        if crashed is not None:
+            crashed.set()
+            self.crashes_unix_s.append(self._clock.now_s())
+            task = asyncio.ensure_future(self._restart_server(lifetime))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
-    def _life(self, server: RouteServer) -> asyncio.Event:
+    def _process(self, server: RouteServer) -> asyncio.Event:
         if server.lifetime not in self._running:
             raise ServerRefused(f'{server.address} refuses connections')
         return self._running[server.lifetime]
 
-    async def _come_back(self, lifetime: str) -> None:
-        address = self._at.pop(lifetime)
-        await anyio.sleep(AT_ONCE_S if self.open else LAPSE_S)
+    async def _restart_server(self, lifetime: str) -> None:
+        address = self._addresses.pop(lifetime)
+        await anyio.sleep(AT_ONCE_S if self.open_addresses else EXPIRY_S)
         self._store.remove(f'{SERVERS}{lifetime}')
-        if not self.open:
-            await anyio.sleep(BACK_S - LAPSE_S)
-        self._begin(address, lifetime if self.same_names else '')
+        if not self.open_addresses:
+            await anyio.sleep(RESTART_S - EXPIRY_S)
+        self._start_server(address, lifetime if self.same_names else '')
 
-    def _begin(self, address: str, name: str = '') -> None:
-        born_unix_ms = next(self._lives) + 1
+    def _start_server(self, address: str, name: str = '') -> None:
+        born_unix_ms = next(self._incarnations) + 1
         lifetime = name or f'life-{born_unix_ms}'
         self._running[lifetime] = asyncio.Event()
-        self._at[lifetime] = address
+        self._addresses[lifetime] = address
         server = RouteServer(lifetime, SERVICE, address, 'porto-a', 64, born_unix_ms=born_unix_ms)
         self._store.put(f'{SERVERS}{lifetime}', msgspec.json.encode(server))
 
@@ -129,10 +129,10 @@
     """Routers that forward to such servers; each call runs on one loop in virtual time."""
 
     def __init__(self, routers: int, servers: int, sidecars: int = 0) -> None:
-        """Start them, and let them find each other."""
+        """Start them, and let them discover each other."""
         super().__init__(sidecars)
         self._runners: list[Runner] = []
-        self._lives = itertools.count()
+        self._incarnations = itertools.count()
         self._route = Route(
             'boards', 'host', '/b/', Repeat.UNSAFE, 4000, 500, 1, (Target(SERVICE, 1),)
         )
@@ -140,57 +140,59 @@
         self._loop.run(self._start, routers, servers)
 
     @property
-    def servers(self) -> EndingServers:
+    def servers(self) -> CrashingServers:
         """The servers."""
         return self._servers
 
-    def lapse(self) -> None:
-        """Remove what routers wrote into the store, but for their own entries."""
-        self._loop.run(self._lapse)
+    def expire_records(self) -> None:
+        """Remove all that routers wrote into the store, except their own entries."""
+        self._loop.run(self._expire_records)
 
     def repeat(self, attempts: int) -> None:
-        """Let the request be repeated."""
+        """Let the request be retried."""
         self._route = self._route._replace(repeat=Repeat.SAFE, max_attempts=attempts)
 
-    def start_again(self, router: int) -> None:
-        """Kill a router and start its next life at the same address."""
-        self._loop.run(self._start_again, router)
+    def restart(self, router: int) -> None:
+        """Kill a router and start its next incarnation at the same address."""
+        self._loop.run(self._restart, router)
 
-    def start_all_again(self) -> None:
-        """Kill all routers, and then start the next life of each."""
-        self._loop.run(self._start_all_again)
+    def restart_all(self) -> None:
+        """Kill all routers, and then start the next incarnation of each."""
+        self._loop.run(self._restart_all)
 
-    def come(self, times: int, pause_s: float, first_router: int = 0, step: int = 1) -> None:
-        """Have the fatal request come again and again."""
-        self._loop.run(self._come, times, pause_s, first_router, step)
+    def send_repeatedly(
+        self, times: int, pause_s: float, first_router: int = 0, step: int = 1
+    ) -> None:
+        """Send the fatal request repeatedly."""
+        self._loop.run(self._send_repeatedly, times, pause_s, first_router, step)
 
-    def come_at_once(self, times: int, pause_s: float) -> None:
-        """Have the fatal request come at all routers at once, again and again."""
-        self._loop.run(self._come_at_once, times, pause_s)
+    def send_to_all(self, times: int, pause_s: float) -> None:
+        """Send the fatal request to all routers at once, repeatedly."""
+        self._loop.run(self._send_to_all, times, pause_s)
 
-    def end_together(self, times: int) -> int:
-        """End all servers that run a harmless request; return how many these are."""
-        ended: int = self._loop.run(self._end_together, times)
-        return ended
+    def crash_together(self, times: int) -> int:
+        """Crash all servers that run a harmless request; return their number."""
+        crashed: int = self._loop.run(self._crash_together, times)
+        return crashed
 
     def lose_harmless(self) -> None:
-        """Run a harmless request at a server that ends, then once more at one that does not."""
+        """Run a harmless request at a server that crashes, then at one that does not."""
         self._loop.run(self._lose_harmless)
 
     def break_connections(self, times: int) -> None:
-        """Have so many connections of a harmless request break, one request at a time."""
+        """Break that many connections of a harmless request, one request at a time."""
         self._servers.breaking = times
         for number in range(times):
-            self._loop.run(self._carry, number % len(self._runners), HARMLESS)
+            self._loop.run(self._execute, number % len(self._runners), HARMLESS)
 
     def send(self, body: bytes, account: RouteAccount = OWNER) -> RecordingSink:
-        """Carry one request to its end."""
-        sink: RecordingSink = self._loop.run(self._carry, 0, body, account)
+        """Execute one request."""
+        sink: RecordingSink = self._loop.run(self._execute, 0, body, account)
         return sink
 
     def late(self, seconds: float) -> list[Arrival]:
-        """Return arrivals of the fatal request so long after it had ended three servers."""
-        third_unix_s = self._servers.ends_unix_s[2]
+        """Return arrivals of the fatal request more than ``seconds`` after its third crash."""
+        third_unix_s = self._servers.crashes_unix_s[2]
         return [
             one
             for one in self._servers.arrived
@@ -198,79 +200,81 @@
         ]
 
     async def _start(self, routers: int, servers: int) -> None:
-        self._servers = EndingServers(self._store, self._clock, servers)
+        self._servers = CrashingServers(self._store, self._clock, servers)
         await self._start_sidecars()
         for number in range(routers):
-            self._enter(f'10.0.0.{number}:1')
+            self._start_router(f'10.0.0.{number}:1')
         await anyio.sleep(START_S)
 
-    def _enter(self, address: str) -> None:
-        """Start a life of a router."""
-        name = f'router-{next(self._lives)}'
+    def _start_router(self, address: str) -> None:
+        """Start an incarnation of a router."""
+        name = f'router-{next(self._incarnations)}'
         router = CutRouter(name, address, self._net, self._store, Entries())
         router.start(OWNER)
         runner = Runner(router.dispatcher, router.pools, self._servers, self._clock)
-        known = [one.address for one in self._routers]
-        if address in known:
-            self._routers[known.index(address)] = router
-            self._runners[known.index(address)] = runner
+        addresses = [one.address for one in self._routers]
+        if address in addresses:
+            self._routers[addresses.index(address)] = router
+            self._runners[addresses.index(address)] = runner
         else:
             self._routers.append(router)
             self._runners.append(runner)
 
-    async def _lapse(self) -> None:
+    async def _expire_records(self) -> None:
         for stored in await self._store.list(WRITTEN, self._clock.now_s() + 1):
             if not stored.key.startswith(ENTRIES):
                 self._store.remove(stored.key)
 
-    async def _start_again(self, number: int) -> None:
+    async def _restart(self, number: int) -> None:
         self._routers[number].kill()
         await anyio.sleep(1)
-        self._enter(self._routers[number].address)
+        self._start_router(self._routers[number].address)
 
-    async def _start_all_again(self) -> None:
+    async def _restart_all(self) -> None:
         for router in self._routers:
             router.kill()
         await anyio.sleep(1)
         for router in list(self._routers):
-            self._enter(router.address)
+            self._start_router(router.address)
 
-    async def _come(self, times: int, pause_s: float, first_router: int, step: int) -> None:
+    async def _send_repeatedly(
+        self, times: int, pause_s: float, first_router: int, step: int
+    ) -> None:
         for number in range(times):
             router = (first_router + number * step) % len(self._runners)
-            self.sinks.append(await self._carry(router, FATAL))
+            self.sinks.append(await self._execute(router, FATAL))
             await anyio.sleep(pause_s)
 
-    async def _come_at_once(self, times: int, pause_s: float) -> None:
+    async def _send_to_all(self, times: int, pause_s: float) -> None:
         for _ in range(times):
-            coming = [self._carry(router, FATAL) for router, _ in enumerate(self._runners)]
-            self.sinks.extend(await asyncio.gather(*coming))
+            requests = [self._execute(router, FATAL) for router, _ in enumerate(self._runners)]
+            self.sinks.extend(await asyncio.gather(*requests))
             await anyio.sleep(pause_s)
 
-    async def _end_together(self, times: int) -> int:
-        coming = [self._carry(number % len(self._runners), HARMLESS) for number in range(times)]
-        under_way = asyncio.gather(*coming)
+    async def _crash_together(self, times: int) -> int:
+        requests = [self._execute(number % len(self._runners), HARMLESS) for number in range(times)]
+        executions = asyncio.gather(*requests)
         await anyio.sleep(RUN_S / 2)
         backends = [
             backend for router in self._routers for backend in router.dispatcher.backends.all()
         ]
         running = {backend.server.lifetime for backend in backends if backend.own_in_flight}
         for lifetime in running:
-            self._servers.end(lifetime)
-        assert {sink.status for sink in await under_way} == {502}
+            self._servers.crash(lifetime)
+        assert {sink.status for sink in await executions} == {502}
         return len(running)
 
     async def _lose_harmless(self) -> None:
-        lost = asyncio.ensure_future(self._carry(0, HARMLESS))
+        lost = asyncio.ensure_future(self._execute(0, HARMLESS))
         await anyio.sleep(RUN_S / 2)
         for backend in self._routers[0].dispatcher.backends.all():
             if backend.own_in_flight:
-                self._servers.end(backend.server.lifetime)
+                self._servers.crash(backend.server.lifetime)
         assert (await lost).status == 502
-        assert (await self._carry(0, HARMLESS)).status == 200
+        assert (await self._execute(0, HARMLESS)).status == 200
         await anyio.sleep(START_S)
 
-    async def _carry(
+    async def _execute(
         self, router: int, body: bytes, account: RouteAccount = OWNER
     ) -> RecordingSink:
         sink = RecordingSink()
@@ -280,7 +284,7 @@
     def _made(self, body: bytes, account: RouteAccount) -> ForwardRequest:
         now_unix_s = self._clock.now_s()
         return ForwardRequest(
-            request_id=f'attempt-{next(self._lives)}',
+            request_id=f'attempt-{next(self._incarnations)}',
             route=self._route,
             account=account,
             method='POST',
--- a/features/subjects/held_request.py
+++ b/features/subjects/held_request.py
@@ -1,4 +1,4 @@
-"""Subject: records of a request that ended servers, and those of another instance."""
+"""Subject: records of a request that crashed servers, and those of another instance."""
 
 import itertools
 
@@ -15,10 +15,10 @@
 
 
 class HeldRequest:
-    """Two instances' records; time is what the scenario says."""
+    """Two instances' records; the scenario sets the time."""
 
-    def __init__(self, ends: int) -> None:
-        """Have servers end under the request."""
+    def __init__(self, crashes: int) -> None:
+        """Crash ``crashes`` servers under the request."""
         self.now_unix_s = 1_700_000_000.0
         self.records = CrashRecords(ForwardSettings())
         self._other = CrashRecords(ForwardSettings())
@@ -28,15 +28,15 @@
         self._other_updates = PeerUpdates(
             UpdateSources(self._other, LeavingServers(), AdvertisedLimits()), self
         )
-        self._lives = itertools.count()
-        for _ in range(ends):
+        self._incarnations = itertools.count()
+        for _ in range(crashes):
             self.now_unix_s += 1
-            self.end()
+            self.crash()
 
-    def end(self, digest: str = REQUEST) -> None:
-        """Have one more server end under a request."""
+    def crash(self, digest: str = REQUEST) -> None:
+        """Crash one more server under a request."""
         run = EndedRun(self.now_unix_s - RUN_S, self.now_unix_s)
-        self.records.record_crash(digest, f'life-{next(self._lives)}', run, self.now_unix_s)
+        self.records.record_crash(digest, f'life-{next(self._incarnations)}', run, self.now_unix_s)
 
     def held_s(self) -> float:
         """Return for how long the request is held back."""
@@ -47,19 +47,19 @@
         return self._other.held_s(REQUEST, self.now_unix_s)
 
     def now_s(self) -> float:
-        """Tell the time."""
+        """Return the time."""
         return self.now_unix_s
 
-    def answer_elsewhere(self) -> None:
-        """Tell the other instance twice, and have the request answered there."""
-        self._early = self._updates.since(START)
-        self._other_updates.merge(self._early, 'test')
-        self._other_updates.merge(self._early, 'test')
+    def merge_elsewhere(self) -> None:
+        """Send the updates to the other instance twice, and answer the request there."""
+        self._old_updates = self._updates.since(START)
+        self._other_updates.merge(self._old_updates, 'test')
+        self._other_updates.merge(self._old_updates, 'test')
         assert self.held_elsewhere_s()
         self._other.record_success(REQUEST, self.now_unix_s)
 
-    def tell_all_again(self) -> None:
-        """Tell what was known before the answer once more, and then all, both ways."""
-        self._other_updates.merge(self._early, 'test')
+    def exchange_again(self) -> None:
+        """Send the updates from before the answer once more, and then all, both ways."""
+        self._other_updates.merge(self._old_updates, 'test')
         self._updates.merge(self._other_updates.since(START), 'test')
         self._other_updates.merge(self._updates.since(START), 'test')
--- a/features/subjects/leaving_servers.py
+++ b/features/subjects/leaving_servers.py
@@ -1,4 +1,4 @@
-"""Subject: routers of one data centre, servers that leave, and news of it that comes late."""
+"""Subject: routers of one data centre, servers that leave, and reports of it that arrive late."""
 
 from typing import Any
 
@@ -20,23 +20,23 @@
 SERVERS = 'servers/'
 SERVICE = 'engines'
 START_S = 3.0
-LOOK_S = 0.02
+CHECK_S = 0.02
 ACCOUNT = RouteAccount('ateliers', (), None, None)
 
 
 class Entries:
-    """Servers' entries as the product's own type in JSON; nothing is declared."""
+    """Decodes servers' entries of the product's own type in JSON; there are no declarations."""
 
     declared_key = 'none/declared'
     declared_prefix = 'none/declared'
     servers_prefix = SERVERS
 
     def declared(self, stored: Stored) -> Declarations | None:
-        """Refuse."""
+        """Reject any declarations."""
         raise ValueError(stored.key)
 
     def evacuated(self, key: str) -> str:
-        """Know of no evacuations."""
+        """Return that no key is an evacuation."""
         return ''
 
     def server(self, stored: Stored, now_unix_s: float) -> RouteServer:
@@ -49,35 +49,35 @@
 
 
 class TimedStore:
-    """The store with the time limits of a real link, whose answers may vanish."""
+    """The store with the deadlines of a real link, whose answers may get lost."""
 
     def __init__(self, store: MemoryStore, clock: LoopClock) -> None:
-        """Start with a sound link."""
+        """Initialize with a working link."""
         self.silent = False
         self._store = store
         self._clock = clock
 
     def __getattr__(self, name: str) -> Any:
-        """Make any call of the store; an answer that comes too late is none."""
+        """Return a call of the store that fails if the answer misses the deadline."""
         call = getattr(self._store, name)
 
-        async def made(*arguments: Any) -> Any:
+        async def timed_call(*arguments: Any) -> Any:
             deadline_unix_s = arguments[3] if name in {'swap', 'poll'} else arguments[1]
             with anyio.move_on_after(left_s(self._clock, deadline_unix_s)):
                 answer = await call(*arguments)
                 while self.silent:
-                    await anyio.sleep(LOOK_S)
+                    await anyio.sleep(CHECK_S)
                 return answer
             raise StoreUnreachable('TimeoutError')
 
-        return made
+        return timed_call
 
 
-class LeavingServers:
-    """Routers that follow a store; each call runs on one loop in virtual time."""
+class LeavingFleet:
+    """Routers that watch a store; each call runs on one loop in virtual time."""
 
     def __init__(self, routers: int, servers: int, sidecars: int) -> None:
-        """Start them, and let them find each other."""
+        """Start them, and let them discover each other."""
         self._loop = ScenarioLoop()
         self._clock = LoopClock()
         self._store = MemoryStore(self._clock)
@@ -97,29 +97,29 @@
         self._loop.run(anyio.sleep, seconds)
 
     def silence(self, router: int) -> None:
-        """Have the store's answers to a router vanish, right after it heard the last one."""
+        """Drop the store's answers to a router, right after it got the last one."""
         self._loop.run(self._silence, router)
 
     def leave(self, server: int) -> None:
-        """Have a server say that it leaves."""
-        self._loop.run(self._enter, server, True)
+        """Announce that a server leaves."""
+        self._loop.run(self._write_entry, server, True)
 
     def lose_sidecars(self) -> None:
-        """Have the sidecars' machines vanish: connections to them hang."""
+        """Lose the sidecars' machines: connections to them hang."""
         routers = {router.address for router in self.routers}
         self._net.part(routers, set(self._sidecars))
 
     def chosen(self, router: int, server: int, seconds: float) -> bool:
-        """Tell whether a router would choose a server at any moment of the next seconds."""
+        """Tell whether a router would choose a server at any time in the next seconds."""
         return self._loop.run(self._chosen, router, server, seconds)
 
     def lost(self, seconds: float) -> set[str]:
-        """Return the routers that take the store for lost at any moment of the next seconds."""
+        """Return the routers that take the store for lost at any time in the next seconds."""
         return self._loop.run(self._lost, seconds)
 
     async def _start(self, routers: int, servers: int) -> None:
         for number in range(servers):
-            await self._enter(number, False)
+            await self._write_entry(number, False)
         for number, address in enumerate(self._sidecars):
             sidecar = MemorySidecar(f's{number}', address, self._net, self._store)
             await sidecar.start()
@@ -133,22 +133,22 @@
         await anyio.sleep(START_S)
 
     async def _silence(self, router: int) -> None:
-        # Any change of an entry is told to all at once.
+        # Every change of an entry is sent to all routers at once.
         self._store.put(f'{SERVERS}other', b'{}')
-        await anyio.sleep(LOOK_S)
+        await anyio.sleep(CHECK_S)
         self._links[router].silent = True
 
-    async def _enter(self, number: int, leaving: bool) -> None:
+    async def _write_entry(self, number: int, leaving: bool) -> None:
         server = RouteServer(_server(number), SERVICE, f'10.0.2.{number}:1', 'porto-a', 64, leaving)
         self._store.put(f'{SERVERS}{server.lifetime}', msgspec.json.encode(server))
 
     async def _chosen(self, router: int, server: int, seconds: float) -> bool:
         until_unix_s = self._clock.now_s() + seconds
         while self._clock.now_s() < until_unix_s:
-            taking = self.routers[router].routing_state.available_servers(SERVICE)
-            if _server(server) in {one.lifetime for one in taking}:
+            available = self.routers[router].routing_state.available_servers(SERVICE)
+            if _server(server) in {one.lifetime for one in available}:
                 return True
-            await anyio.sleep(LOOK_S)
+            await anyio.sleep(CHECK_S)
         return False
 
     async def _lost(self, seconds: float) -> set[str]:
@@ -160,21 +160,21 @@
                 for one in self.routers
                 if one.store_status.unavailable or one.store.unavailable
             }
-            await anyio.sleep(LOOK_S)
+            await anyio.sleep(CHECK_S)
         return found
 
 
-class LateAnswer:
-    """One router that follows a store, and heard newer news of another router."""
+class DelayedAnswer:
+    """One router that watches a store, and got a newer report from another router."""
 
     def __init__(self, version: int) -> None:
-        """Have it told that the only server leaves."""
+        """Report to it that the only server leaves."""
         self.routing_state = RoutingState()
         server = RouteServer(_server(0), SERVICE, '10.0.2.0:1', 'porto-a', 64)
         self._server = server
         self.routing_state.update_server(server, 'test')
-        left = server._replace(leaving=True)
-        self.routing_state.replace_servers({server.lifetime: left}, version, 'router-1')
+        leaving = server._replace(leaving=True)
+        self.routing_state.replace_servers({server.lifetime: leaving}, version, 'router-1')
 
     def arrive(self) -> int:
         """Let the store's own list arrive; return its version."""
--- a/packages/fleet/src/endivesaddle/fleet/routes/sidecar_admission.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/sidecar_admission.py
@@ -54,7 +54,7 @@
         self._any_urgent = anyio.Event()
 
     async def admit(self, backend: Backend, tokens: int, most_tokens: int) -> bool:
-        """Ask for the admission of a prompt; return True also if no sidecar can be request."""
+        """Ask for the admission of a prompt; return True also if no sidecar can be asked."""
         address = self._sidecar_of(backend)
         if not address:
             return True
@@ -128,7 +128,7 @@
         )
 
     def _sidecar_of(self, backend: Backend) -> str:
-        """Return the address of the sidecar beside an engine, '' if none can be request."""
+        """Return the address of the sidecar beside an engine, '' if none can be asked."""
         if self._indexed_sidecars is not self._directory.sidecars:
             self._indexed_sidecars = self._directory.sidecars
             self._sidecars_by_host = {_host(address): address for address in self._indexed_sidecars}
