--- a/features/news_at_size.feature
+++ b/features/news_at_size.feature
@@ -1,15 +1,15 @@
-Feature: News of servers and requests among many routers
-  What an answer or a broken run told one router concerns all of them, also at size.
+Feature: Updates on servers and requests among many routers
+  What one router learns from a response or a broken run reaches all others, in large fleets too.
 
-  Scenario Outline: All routers hear of it in time
-    A server that says in an answer that it leaves may get no more requests after 2 s, a request
-    that ends servers none after 3 s.  Of 300 routers each looked at the board every 7.5 s; others
-    heard of it after up to twice that.
-    Given <routers> routers that leave words on the board of a sidecar
-    When one of them hears of a server that leaves, 10 times
-    Then all have heard of it within <within> seconds each time
-    And each time cost the board at most 2 calls of each router
-    And it is asked at most 60 times a second while there are no news
+  Scenario Outline: All routers learn of it in time
+    A server that announces in a response that it leaves may get no more requests after 2 s; a
+    request that crashes servers may reach none after 3 s.  In a fleet of 300 routers, each polled
+    the aggregator every 7.5 s, and learned of an update after up to twice that.
+    Given <routers> routers that report to the aggregator of a sidecar
+    When one of them learns of a server that leaves, 10 times
+    Then all have learned of it within <within> seconds each time
+    And each time cost the aggregator at most 2 calls of each router
+    And it is called at most 60 times a second while there are no updates
 
     Examples:
       | routers | within |
--- a/features/steps/evacuated_steps.py
+++ b/features/steps/evacuated_steps.py
@@ -16,27 +16,27 @@
 
 @when('data centre {name} is evacuated')
 def evacuate(context: Any, name: str) -> None:
-    """Have the operator say so."""
+    """Write the operator's key."""
     context.play.evacuate(name)
 
 
 @when('data centre {name} is evacuated, and the store drops its history')
 def evacuate_and_forget(context: Any, name: str) -> None:
-    """Have the operator say so to watches that hear nothing of it."""
+    """Write the operator's key in a way that watches miss."""
     context.play.evacuate(name)
     context.play.forget()
 
 
 @when('data centre {name} is taken back')
 def take_back(context: Any, name: str) -> None:
-    """Have the operator say so."""
+    """Write the operator's key."""
     context.play.evacuate(name, now=False)
     context.play.sleep(0.2)
 
 
 @when('data centre {name} is taken back, and the store drops its history')
 def take_back_and_forget(context: Any, name: str) -> None:
-    """Have the operator say so to watches that hear nothing of it."""
+    """Write the operator's key in a way that watches miss."""
     context.play.evacuate(name, now=False)
     context.play.forget()
 
@@ -75,7 +75,7 @@
 
 @when('server {server:d} refuses connections for {seconds:d} seconds, while requests come')
 def refuse(context: Any, server: int, seconds: int) -> None:
-    """Have it refuse them."""
+    """Refuse connections for that time."""
     context.play.servers[server].refuses = True
     context.play.rush(20, seconds)
     context.play.servers[server].refuses = False
@@ -98,7 +98,7 @@
 
 @then('at least {least:d} of them were answered by a server')
 def served(context: Any, least: int) -> None:
-    """Count what the callers have."""
+    """Count what the callers got."""
     found = sum(sink.status == 200 for sink in context.play.sinks)
     assert found >= least, found
 
@@ -138,7 +138,7 @@
 
 @then('those that were refused were told to come back in {low:g} to {high:g} seconds')
 def refused(context: Any, low: float, high: float) -> None:
-    """Look at what the callers have."""
+    """Check what the callers got."""
     refusals = [sink.refusal for sink in context.play.sinks if sink.refusal]
     assert refusals
     for refusal in refusals:
--- a/features/steps/neighbours_steps.py
+++ b/features/steps/neighbours_steps.py
@@ -13,7 +13,7 @@
 
 @when('router 0 is cut off from the others')
 def silence(context: Any) -> None:
-    """Lose its messages."""
+    """Drop its messages."""
     context.cut.isolate(0)
 
 
@@ -25,23 +25,23 @@
 
 @then('the other routers count {requests:d} request and {tokens:d} tokens to read there')
 def count(context: Any, requests: int, tokens: int) -> None:
-    """Look at their lanes."""
+    """Check their backends."""
     for backend in context.cut.backends()[1:]:
         assert (backend.in_flight, backend.prefilling_tokens) == (requests, tokens), (
             backend.in_flight
         )
 
 
-@then('the other routers know that its shared part lies there')
+@then('the other routers know that its shared part is cached there')
 def knows(context: Any) -> None:
-    """Look at their lanes."""
+    """Check their backends."""
     for backend in context.cut.backends()[1:]:
         assert context.cut.holds(backend)
 
 
-@then('the routers did not talk with each other in the last second')
+@then('the routers did not call each other in the last second')
 def no_talk(context: Any) -> None:
-    """Let a second pass and count."""
+    """Let a second pass and count the calls."""
     before = context.cut.talks()
     context.cut.sleep(1)
     assert context.cut.talks() == before, context.cut.talks() - before
--- a/features/subjects/evacuated_fleet.py
+++ b/features/subjects/evacuated_fleet.py
@@ -1,4 +1,4 @@
-"""Subject: routers before servers of three data centres, some evacuated, some just started."""
+"""Subject: routers and servers of three data centres, some evacuated, some just started."""
 
 import itertools
 from typing import Any
@@ -28,22 +28,22 @@
 
 
 class TimedServer(SayingServer):
-    """A server that notes when requests reach it."""
+    """A server that records when requests reach it."""
 
     def __init__(self, clock: LoopClock) -> None:
-        """Start without requests."""
+        """Initialize without requests."""
         super().__init__()
         self.refuses = False
         self.came_unix_s: list[float] = []
         self._clock = clock
 
     def answer(self, request: bytes) -> bytes:
-        """Take a request and return the bytes of its answer."""
+        """Record a request and return the bytes of its response."""
         self.came_unix_s.append(self._clock.now_s())
         return super().answer(request)
 
     def busiest(self) -> int:
-        """Return the most requests that came within any second."""
+        """Return the most requests that arrived within any second."""
         return max(
             (
                 sum(1 for later in self.came_unix_s if 0 <= later - first < WINDOW_S)
@@ -54,16 +54,16 @@
 
 
 class EvacuatedFleet(SayingServers):
-    """Server n lies in data centre n modulo 3; documents are the users' platform's."""
+    """Server n is in data centre n modulo 3; documents are in the format of the users' platform."""
 
     def __init__(self, routers: int, servers: int, sidecars: int = 0) -> None:
-        """Start with nothing evacuated."""
+        """Start with no data centre evacuated."""
         self._life = 1
         self._decoder = module('documents').PlatformDecoder()
         super().__init__(routers, servers, sidecars)
 
     def evacuate(self, data_centre: str, now: bool = True) -> None:
-        """Have the operator evacuate a data centre, or take it back."""
+        """Evacuate a data centre, or return it to service."""
         self._loop.run(self._evacuate, data_centre, now)
 
     def start_router(self) -> int:
@@ -77,20 +77,20 @@
         self._routers[router].cut.cut = True
 
     def forget(self) -> None:
-        """Have the store drop its history."""
+        """Make the store drop its history."""
         self._store.forget()
 
     def ready(self, router: int) -> bool:
-        """Tell whether a router knows what it needs before it takes requests."""
+        """Tell whether a router knows what it needs before it accepts requests."""
         routing_state = self._routers[router].routing_state
         return routing_state.declarations is not None and bool(routing_state.servers)
 
     def enter_cold(self, server: int, cold_s: float) -> None:
-        """Have a server write that it is cold for so long."""
+        """Write the entry of a server that is cold for ``seconds``."""
         self._loop.run(self._put, server, {'cold_left_ms': int(cold_s * 1000)})
 
     def restart(self, cold_s: float) -> None:
-        """Kill all routers, start them at their addresses, and have all servers be cold."""
+        """Restart all routers at their addresses, with all servers cold."""
         self._loop.run(self._restart, cold_s)
 
     def rush(self, per_s: float, seconds: float) -> None:
@@ -98,7 +98,7 @@
         self._loop.run(self._rush, per_s, seconds)
 
     def forget_requests(self) -> None:
-        """Count from here on."""
+        """Reset the counts."""
         self._forget()
         for server in self.servers:
             server.came_unix_s.clear()
@@ -179,7 +179,7 @@
 
 
 def _config() -> dict[str, Any]:
-    """Return declarations whose engines bear 16 requests a second while cold."""
+    """Return declarations whose engines handle 16 requests a second while cold."""
     engines = {'name': SERVICE, 'max_conns': 450, 'cold_s': 3.0, 'cold_per_s': 16.0}
     account = {'name': ACCOUNT.name, 'api_keys': []}
     return {'version': 2, 'routes': [], 'services': [engines], 'tenants': [account]}
--- a/features/subjects/saying_servers.py
+++ b/features/subjects/saying_servers.py
@@ -1,4 +1,4 @@
-"""Subject: routers, and servers that say things of themselves in their answers."""
+"""Subject: routers, and servers that announce their state in their responses."""
 
 import asyncio
 import itertools
@@ -31,29 +31,29 @@
 
 
 class SayingServer:
-    """One server: what it answers, and how many requests it got."""
+    """One server: its responses, and how many requests it got."""
 
     def __init__(self) -> None:
-        """Answer well."""
+        """Initialize as a server that answers with 200."""
         self.got = 0
         self.held_s = 0.0
         self.status = OK
         self.headers = b''
 
     def leave(self, status: int) -> None:
-        """Say in answers of a status that it leaves."""
+        """Announce in responses of a status that it leaves."""
         self.status = status
         self.headers = LEAVES
         if status == UNAVAILABLE:
             self.headers += NOT_RUN
 
     def turn_away(self, retry_after: str) -> None:
-        """Turn requests away, and say for how long it wants none."""
+        """Decline requests, with a retry time."""
         self.status = UNAVAILABLE
         self.headers = NOT_RUN + f'retry-after: {retry_after}\r\n'.encode()
 
     def answer(self, request: bytes) -> bytes:
-        """Take a request and return the bytes of its answer."""
+        """Count a request and return the bytes of its response."""
         self.got += 1
         start = request.index(REQUEST_ID)
         named = request[start : request.index(b'\r\n', start)]
@@ -64,16 +64,16 @@
 
 
 class SayingTransport(asyncio.Transport):
-    """A connection to one of them."""
+    """A connection to such a server."""
 
     def __init__(self, server: SayingServer, connection: ServerConnection) -> None:
-        """Have ``server`` answer what is sent."""
+        """Let ``server`` answer what is sent."""
         super().__init__()
         self._server = server
         self._connection = connection
 
     def write(self, data: bytes | bytearray | memoryview) -> None:
-        """Take what is sent, and answer."""
+        """Pass what is sent to the server, and return its response."""
         answer = self._server.answer(bytes(data))
         loop = asyncio.get_running_loop()
         loop.call_later(self._server.held_s, self._connection.data_received, answer)
@@ -87,10 +87,10 @@
 
 
 class SayingServers(RouterFleet):
-    """Routers before such servers; each call runs on one loop in virtual time."""
+    """Routers and such servers; each call runs on one loop in virtual time."""
 
     def __init__(self, routers: int, servers: int, sidecars: int = 0) -> None:
-        """Start them, and let them find each other."""
+        """Start them, and let them discover each other."""
         super().__init__(sidecars)
         self._runners: list[Runner] = []
         self._ids = itertools.count()
@@ -99,7 +99,7 @@
         self._loop.run(self._start, routers)
 
     def enter(self, server: int, born_unix_ms: int = 0) -> None:
-        """Write a server's entry, as one that takes requests."""
+        """Write a server's entry, as not leaving."""
         self._loop.run(self._enter, server, born_unix_ms)
 
     def vanish(self, server: int, seconds: float) -> None:
@@ -122,7 +122,7 @@
         self._loop.run(self._come, times, router)
 
     def _forget(self) -> None:
-        """Count from here on."""
+        """Reset the counts."""
         self.sinks.clear()
         for server in self.servers:
             server.got = 0
@@ -136,7 +136,7 @@
         await anyio.sleep(START_S)
 
     async def _tend(self, seconds: float) -> None:
-        """Let time pass, after which the routers forget servers that are gone."""
+        """Let time pass, then drop servers that are gone from the routers."""
         await anyio.sleep(seconds)
         for router in self._routers:
             present = set(router.routing_state.servers)
--- a/features/subjects/news_fleet.py
+++ b/features/subjects/update_fleet.py
@@ -1,4 +1,4 @@
-"""Subject: many routers that hear of each other by the board of a sidecar alone."""
+"""Subject: many routers that report to each other only through the aggregator of a sidecar."""
 
 import asyncio
 from random import Random
@@ -20,28 +20,28 @@
 from subjects.cut_router import NoDocuments
 from subjects.links_loop import ScenarioLoop
 
-BOARD = '10.1.0.0:1'
+AGGREGATOR = '10.1.0.0:1'
 START_S = 20.0
-LOOK_S = 0.05
-LONGEST_S = 20.0
+CHECK_S = 0.05
+MAX_S = 20.0
 
 
-class FixedRoster:
-    """A roster that knows all routers from the start."""
+class FixedDirectory:
+    """An instance directory that holds all routers from the start."""
 
     def __init__(self, others: dict[str, str]) -> None:
-        """Know ``others`` and one sidecar."""
+        """Initialize with ``others`` and one sidecar."""
         self.others = others
-        self.sidecars: tuple[str, ...] = (BOARD,)
-        self.aggregators = (BOARD,)
+        self.sidecars: tuple[str, ...] = (AGGREGATOR,)
+        self.aggregators = (AGGREGATOR,)
         self.settled = True
 
     def note_call(self, lifetime: str, address: str) -> None:
-        """Know it already."""
+        """Ignore a call: all routers are known."""
 
 
-class NewsRouter:
-    """One router's knowledge, and its talks."""
+class UpdateRouter:
+    """One router's state, and its exchanges with others."""
 
     def __init__(self, number: int, addresses: dict[str, str], net: MemoryNet) -> None:
         """Build its parts."""
@@ -54,7 +54,7 @@
         others = {other: address for other, address in addresses.items() if other != name}
         dispatcher = Dispatcher(ForwardSettings(), self.routing_state, clock, name)
         parts = PeerRouterParts(
-            self.routing_state, store_status, dispatcher, FixedRoster(others), NoDocuments(), ()
+            self.routing_state, store_status, dispatcher, FixedDirectory(others), NoDocuments(), ()
         )
         address = addresses[name]
         self.peer_routers = PeerRouters(parts, net.peers(address), clock, name, address)
@@ -63,17 +63,17 @@
         net.serve(address, handlers)
 
 
-class NewsFleet:
-    """Such routers and one board; each call runs on one loop in virtual time."""
+class UpdateFleet:
+    """Such routers and one aggregator; each call runs on one loop in virtual time."""
 
     def __init__(self, routers: int) -> None:
-        """Start them, and let their first looks pass."""
+        """Start them, and let their first polls pass."""
         self._loop = ScenarioLoop()
         self._clock = LoopClock()
         self._net = MemoryNet(self._clock)
         self._random = Random(3)
-        self._asked = 0
-        self._routers: list[NewsRouter] = []
+        self._calls = 0
+        self._routers: list[UpdateRouter] = []
         self._loop.run(self._start, routers)
 
     def close(self) -> None:
@@ -81,7 +81,7 @@
         self._loop.close()
 
     def spread_s(self, times: int) -> list[float]:
-        """Have one router hear of a server that leaves; return how long the others took."""
+        """Notify one router of servers that leave; return how long it took to reach all others."""
         return [self._loop.run(self._spread, number) for number in range(times)]
 
     @property
@@ -90,53 +90,53 @@
         return len(self._routers)
 
     @property
-    def asked(self) -> int:
-        """Return the calls that the board got, since the start passed."""
-        return self._asked
+    def calls(self) -> int:
+        """Return the calls that the aggregator got since the start."""
+        return self._calls
 
     def now_s(self) -> float:
         """Return the time, in seconds."""
         now_unix_s: float = self._loop.run(self._now)
         return now_unix_s
 
-    def asked_while(self, seconds: float) -> int:
-        """Return the calls that the board gets in the next seconds."""
-        before = self._asked
+    def calls_while(self, seconds: float) -> int:
+        """Return the calls that the aggregator gets in the next seconds."""
+        before = self._calls
         self._loop.run(anyio.sleep, seconds)
-        return self._asked - before
+        return self._calls - before
 
     async def _now(self) -> float:
         return self._clock.now_s()
 
     async def _start(self, routers: int) -> None:
-        board = ReportAggregator(self._clock, 'board-1')
+        aggregator = ReportAggregator(self._clock, 'board-1')
         handlers = Handlers()
-        board.register(handlers)
+        aggregator.register(handlers)
         answer = handlers.unary[rpcs.BOARD.path]
 
-        async def counted(asked: routers_pb2.BoardRequest) -> routers_pb2.BoardReply:
-            self._asked += 1
-            return await answer(asked)
+        async def counted(request: routers_pb2.BoardRequest) -> routers_pb2.BoardReply:
+            self._calls += 1
+            return await answer(request)
 
         handlers.unary[rpcs.BOARD.path] = counted
-        self._net.serve(BOARD, handlers)
+        self._net.serve(AGGREGATOR, handlers)
         addresses = {f'router-{n}': f'10.0.{n // 250}.{n % 250}:1' for n in range(routers)}
         for number in range(routers):
-            router = NewsRouter(number, addresses, self._net)
+            router = UpdateRouter(number, addresses, self._net)
             self._routers.append(router)
             asyncio.ensure_future(router.peer_routers.run())
         await anyio.sleep(START_S)
-        self._asked = 0
+        self._calls = 0
 
     async def _spread(self, number: int) -> float:
         await anyio.sleep(self._random.uniform(0, 1))
-        life = LeavingIncarnation(f'life-{number}', 0)
+        leaving = LeavingIncarnation(f'life-{number}', 0)
         began_unix_s = self._clock.now_s()
-        self._random.choice(self._routers).routing_state.leaving_servers.add(life, 'answer')
-        while self._clock.now_s() < began_unix_s + LONGEST_S:
+        self._random.choice(self._routers).routing_state.leaving_servers.add(leaving, 'answer')
+        while self._clock.now_s() < began_unix_s + MAX_S:
             if all(
-                router.routing_state.leaving_servers.is_leaving(life) for router in self._routers
+                router.routing_state.leaving_servers.is_leaving(leaving) for router in self._routers
             ):
                 break
-            await anyio.sleep(LOOK_S)
+            await anyio.sleep(CHECK_S)
         return self._clock.now_s() - began_unix_s
