--- a/tools/bench_config.py
+++ b/tools/bench_config.py
@@ -183,7 +183,7 @@
         direct = bench.Direct(fleet, DistributionSettings(), reread)
         direct.start(group, size)
         direct.follow(lags)
-        bed = Bed(fleet, operators, lags, lambda: set(direct.holdings))
+        bed = Bed(fleet, operators, lags, lambda: set(direct.revision_states))
         await operators.change()
         await anyio.sleep(SETTLE_S)
         for case in cases:
