--- a/packages/fleet/src/endivesaddle/fleet/requests/claims.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/claims.py
@@ -70,7 +70,7 @@
     def register(self, handlers: Handlers) -> None:
         """Register handlers for the calls of holders.proto that concern requests."""
         handlers.answer(rpcs.CLAIM, self.claim)
-        handlers.answer(rpcs.ASK, self._retry_query_handler.ask)
+        handlers.answer(rpcs.ASK, self._retry_query_handler.handle)
         handlers.answer(rpcs.NOTE, self.note)
         handlers.answer(rpcs.SETTLE, self.settle)
         handlers.answer(rpcs.COPY, self._copies.copy)
@@ -174,7 +174,7 @@
             'copies': len(self._copies),
             'marks': len(self._marks),
             'pending': len(self._granter.pending),
-            'asked': self._retry_query_handler.asked,
+            'asked': self._retry_query_handler.query_count,
         }
 
 
--- a/packages/fleet/src/endivesaddle/fleet/requests/finishing.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/finishing.py
@@ -70,13 +70,13 @@
         if call.record.state == states.CLAIMED:
             await self.release(call)
             return
-        alone = await self._note_disconnect(call)
-        if not (alone and call.request.may_repeat):
+        is_last_call = await self._note_disconnect(call)
+        if not (is_last_call and call.request.may_repeat):
             return
         if call.request.named:
             await anyio.sleep(self._context.settings.cancel_after_s)
-            alone = await self._note_disconnect(call)
-        if alone:
+            is_last_call = await self._note_disconnect(call)
+        if is_last_call:
             await self._cancel(call)
 
     def _name_claim(self, call: Call) -> None:
--- a/packages/fleet/src/endivesaddle/fleet/requests/retry_queries.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/retry_queries.py
@@ -9,7 +9,7 @@
 from endivesaddle.fleet.requests.context import Context
 from endivesaddle.wire import holders_pb2, rpcs
 
-MAX_REDIRECTS = 3
+MAX_HOLDERS = 3
 """Holders that are tried in one data centre for one query, redirects included."""
 
 
@@ -65,7 +65,7 @@
     ) -> None:
         deadline_unix_s = self._context.now_s() + self._context.settings.ask_s
         address = self._context.budgets.holder_address(query.account, data_centre)
-        for _ in range(MAX_REDIRECTS):
+        for _ in range(MAX_HOLDERS):
             if not address:
                 return
             try:
--- a/packages/fleet/src/endivesaddle/fleet/requests/retry_query_handler.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/retry_query_handler.py
@@ -22,14 +22,14 @@
         pending: dict[str, Pending],
     ) -> None:
         """Reply from the table, the copies and the pending claims."""
-        self.asked = 0
+        self.query_count = 0
         self._context = context
         self._table = table
         self._copies = copies
         self._marks = marks
         self._pending = pending
 
-    async def ask(self, message: holders_pb2.AskRequest) -> holders_pb2.AskReply:
+    async def handle(self, message: holders_pb2.AskRequest) -> holders_pb2.AskReply:
         """Reply to a query of another data centre."""
         budgets = self._context.budgets
         held = budgets.held(message.account)
@@ -37,7 +37,7 @@
             return holders_pb2.AskReply(
                 verdict=states.NOT_HOLDER, reason=held.reason, holder=held.holder
             )
-        self.asked += 1
+        self.query_count += 1
         known = self._known(message)
         if known is not None:
             return holders_pb2.AskReply(verdict=states.KNOWN, record=known)
