--- a/features/forward_runs.feature
+++ b/features/forward_runs.feature
@@ -1,9 +1,9 @@
 Feature: Forwarded requests
-  What the caller of a forwarded request is told, and how often the request runs.
+  What answer the caller of a forwarded request gets, and how often the request runs.
 
   Scenario Outline: A request that may not be repeated
-    It is sent and something goes wrong.  It may have run, so it is never sent again, and its
-    caller gets no status that promises it did not run: the caller would run it twice.
+    It is sent and the attempt fails.  It may have run, so it is not retried, and its caller gets no
+    status that means that it did not run: otherwise the caller would run it twice.
     Given a <kind> route with 3 attempts, whose servers <script>
     When a request is forwarded
     Then the caller got <status>
@@ -23,9 +23,9 @@
       | streamed | hangs    | 504    |
       | unsafe   | answers  | 200    |
 
-  Scenario Outline: A request that did not run goes on elsewhere
-    The first servers refuse the connection, have no room or are another server by now.  Each
-    says for sure that it did not run there, so that even what may run once goes on.
+  Scenario Outline: A request that did not run is sent to another server
+    The first servers refuse the connection, decline, or are another server at the same address.
+    Each proves that the request did not run there, so that even an unrepeatable one is retried.
     Given a <kind> route with 1 attempts, whose servers <script>
     When a request is forwarded
     Then the caller got 200
@@ -39,15 +39,15 @@
       | unsafe   | moved,answers             | 2    |
       | streamed | unreached,unreached,answers | 3  |
 
-  Scenario: A request that no server took is told so, and when to come back
+  Scenario: A request that no server accepted is refused as not run, with a time to retry
     Given a unsafe route with 1 attempts, whose servers declines
     When a request is forwarded
     Then the caller got 503
     And the request ran 0 times
-    And the caller is told when to come back
+    And the caller gets a time to retry
     And nothing was spent
 
-  Scenario Outline: A safe request is repeated as often as its route allows
+  Scenario Outline: A safe request is retried as often as its route allows
     Given a safe route with <attempts> attempts, whose servers <script>
     When a request is forwarded
     Then the caller got <status>
@@ -62,9 +62,9 @@
       | 2        | strays,answers | 200   | 2   |
 
   Scenario Outline: A stream that breaks midway
-    A server dies after two events.  A stream that may be resumed goes on at another server
-    from the event that the caller has; another one ends without its end, so that the caller
-    does not take it for whole.
+    A server crashes after two events.  A resumable stream continues at another server after the
+    last event that the caller has; any other is truncated, so that the caller does not take it for
+    complete.
     Given a <kind> route with 3 attempts, whose servers breaks,answers
     When a request is forwarded
     Then the caller got the events up to <last>, each once
@@ -72,33 +72,33 @@
     And the account spent <spent> tokens
 
     Examples:
-      | kind      | last | ended | spent |
-      | resumable | 5    | whole | 1030  |
-      | streamed  | 1    | cut   | 1010  |
+      | kind      | last | ended     | spent |
+      | resumable | 5    | complete  | 1030  |
+      | streamed  | 1    | truncated | 1010  |
 
-  Scenario: What a caller does not wait for is not paid
-    The caller leaves 50 ms into a stream.  What it got is spent, the rest is free again.
+  Scenario: Events after the caller disconnected are not charged
+    The caller disconnects 50 ms into a stream.  What it got is spent, the rest is released.
     Given a streamed route with 1 attempts, whose servers answers
-    When a request is forwarded whose caller leaves
-    Then nothing is set aside
+    When a request is forwarded whose caller disconnects
+    Then nothing is reserved
     And the account spent at most 1030 tokens
 
-  Scenario: A stream of a service that does not say how much an event holds
-    Counted as nothing, such streams would overdraw the account.
+  Scenario: A stream of a service that does not declare the tokens of an event
+    If such streams counted as 0 tokens, they would overdraw the account.
     Given a streamed route with 1 attempts, whose servers answers
-    And the service does not say how many tokens an event holds
+    And the service does not declare the tokens of an event
     When a request is forwarded
     Then the account spent 1100 tokens
 
-  Scenario: A caller that still reads when the time is over
-    The whole answer is on its way to a caller that reads slowly.  A second answer behind the
+  Scenario: A caller that still reads when the deadline passes
+    The complete answer is being sent to a caller that reads slowly.  A second answer after the
     first would be taken for the answer to another request.
     Given a safe route with 1 attempts, whose servers answers
     And its caller does not read
     When a request is forwarded
-    Then the caller got 200, and nothing behind it
+    Then the caller got 200, and no second answer
 
-  Scenario: A request that hangs gets its answer when its route's time is over
+  Scenario: A request that hangs gets its answer when its route's time-out is reached
     Given a unsafe route with 1 attempts, whose servers hangs
     When a request is forwarded
     Then the answer came after 4000 ms
--- a/features/homes.feature
+++ b/features/homes.feature
@@ -2,8 +2,8 @@
   A route or an account may name the regions in which its requests are served.
 
   Scenario Outline: Requests stay in the home regions
-    Requests of an account that has to be served in one region reached servers of another: what the
-    operator declares of it was read by nobody.
+    Requests of an account that has to be served in one region reached servers of another: no router
+    read the homes that the operator declared.
     Given servers in "porto", "rajkot" and a data centre of no known region
     When 60 requests come on a route with homes "<route>" for an account with homes "<account>"
     Then they are placed in "<served>" alone
--- a/features/steps/admission_steps.py
+++ b/features/steps/admission_steps.py
@@ -7,22 +7,22 @@
 from subjects.admission import ReportedAdmission
 
 
-@given('a router before {engines:d} engines with sidecars')
+@given('a router in front of {engines:d} engines with sidecars')
 def start(context: Any, engines: int) -> None:
     """Start them."""
     context.told = ReportedAdmission(engines)
     context.add_cleanup(context.told.close)
 
 
-@when('it carries {long:d} long and {short:d} short prompts a second for {seconds:d} seconds')
+@when('it forwards {long:d} long and {short:d} short prompts a second for {seconds:d} seconds')
 def carry(context: Any, long: int, short: int, seconds: int) -> None:
-    """Carry them."""
+    """Forward them."""
     context.told.carry(long, short, seconds)
 
 
 @when('it is killed, and {seconds:d} seconds go by')
 def kill(context: Any, seconds: int) -> None:
-    """End it."""
+    """Cancel its task, and let time pass."""
     context.told.kill(seconds)
 
 
@@ -32,19 +32,19 @@
     assert context.told.calls_per_s() <= most, context.told.calls_per_s()
 
 
-@then('each sidecar heard of the router in the last {seconds:g} seconds')
-def heard(context: Any, seconds: float) -> None:
-    """Look at the one that waits longest."""
+@then('each sidecar got a report of the router in the last {seconds:g} seconds')
+def reported(context: Any, seconds: float) -> None:
+    """Check the oldest last report."""
     assert context.told.oldest_s() <= seconds, context.told.oldest_s()
 
 
-@then('the sidecars were told {times:d} times at once')
+@then('the sidecars got {times:d} urgent reports')
 def told(context: Any, times: int) -> None:
-    """Count the words that did not wait for the next one."""
+    """Count the reports that were sent at once."""
     assert context.runs.admission.soon_count == times, context.runs.admission.soon_count
 
 
-@then('no sidecar counts anything of it')
-def forgotten(context: Any) -> None:
-    """Look at what they count."""
+@then('no sidecar counts any load of it')
+def expired(context: Any) -> None:
+    """Check what they count."""
     assert all(load == (0, 0) for load in context.told.counted()), context.told.counted()
--- a/features/steps/forward_runs_steps.py
+++ b/features/steps/forward_runs_steps.py
@@ -16,40 +16,40 @@
     context.add_cleanup(context.runs.close)
 
 
-@given('the service does not say how many tokens an event holds')
+@given('the service does not declare the tokens of an event')
 def unsaid(context: Any) -> None:
-    """Declare it anew without."""
+    """Declare it without that number."""
     context.runs.declare_plain()
 
 
 @given('its caller does not read')
 def unread(context: Any) -> None:
-    """Take the head and no more."""
+    """Let the sink block after the head."""
     context.runs.sink.reads = False
 
 
-@then('the caller got 200, and nothing behind it')
+@then('the caller got 200, and no second answer')
 def one_answer(context: Any) -> None:
-    """A second head would have failed in the sink."""
+    """Check the status; a second head would have failed in the sink."""
     assert context.runs.sink.status == 200, context.runs.sink.status
     assert context.runs.sink.refusal is None, context.runs.sink.refusal
 
 
 @when('a request is forwarded')
 def forward(context: Any) -> None:
-    """Carry one."""
+    """Execute one."""
     context.runs.request()
 
 
-@when('a request is forwarded whose caller leaves')
+@when('a request is forwarded whose caller disconnects')
 def forward_and_leave(context: Any) -> None:
-    """Carry one for a while."""
+    """Execute one, and cancel it."""
     context.runs.leave()
 
 
 @then('the caller got {status:d}')
 def got(context: Any, status: int) -> None:
-    """Look at the status."""
+    """Check the status."""
     assert context.runs.sink.status == status, context.runs.sink.status
     assert context.runs.sink.finished
 
@@ -62,15 +62,15 @@
 
 @then('it was sent {times:d} times')
 def sent(context: Any, times: int) -> None:
-    """Count the sendings, each to another server."""
+    """Count the attempts, each at another server."""
     names = [call.server.lifetime for call in context.runs.links.calls]
     assert len(names) == times, names
     assert len(set(names)) == times, names
 
 
-@then('the caller is told when to come back')
+@then('the caller gets a time to retry')
 def told(context: Any) -> None:
-    """Look at the refusal."""
+    """Check the refusal."""
     refusal = context.runs.sink.refusal
     assert refusal.not_run == 'true', refusal
     assert 0 < refusal.retry_after_s < 2, refusal
@@ -78,48 +78,48 @@
 
 @then('nothing was spent')
 def nothing_spent(context: Any) -> None:
-    """Look at the share."""
+    """Check the account."""
     assert context.runs.spent() == 0, context.runs.spent()
     assert context.runs.reserved() == 0, context.runs.reserved()
 
 
-@then('nothing is set aside')
+@then('nothing is reserved')
 def nothing_reserved(context: Any) -> None:
-    """Look at the share."""
+    """Check the account."""
     assert context.runs.reserved() == 0, context.runs.reserved()
 
 
 @then('the caller got the events up to {last:d}, each once')
 def events(context: Any, last: int) -> None:
-    """Look at the numbers."""
+    """Check the numbers."""
     assert context.runs.numbers() == list(range(last + 1)), context.runs.numbers()
 
 
-@then('the answer was whole')
+@then('the answer was complete')
 def whole(context: Any) -> None:
-    """Look for the end."""
+    """Check for the end."""
     assert context.runs.sink.finished
 
 
-@then('the answer was cut')
+@then('the answer was truncated')
 def cut(context: Any) -> None:
-    """Look for the end."""
+    """Check for the end."""
     assert not context.runs.sink.finished
 
 
 @then('the account spent {tokens:d} tokens')
 def spent(context: Any, tokens: int) -> None:
-    """Look at the share."""
+    """Check the account."""
     assert context.runs.spent() == tokens, context.runs.spent()
 
 
 @then('the account spent at most {tokens:d} tokens')
 def spent_at_most(context: Any, tokens: int) -> None:
-    """Look at the share."""
+    """Check the account."""
     assert 1000 < context.runs.spent() < tokens, context.runs.spent()
 
 
 @then('the answer came after {after_ms:d} ms')
 def after(context: Any, after_ms: int) -> None:
-    """Look at the time."""
+    """Check the time."""
     assert 0 <= context.runs.took_s - after_ms / 1000 < SLACK_S, context.runs.took_s
--- a/features/steps/homes_steps.py
+++ b/features/steps/homes_steps.py
@@ -49,13 +49,13 @@
 
 @then('they are placed in "{regions}" alone')
 def placed(context: Any, regions: str) -> None:
-    """Compare where they went."""
+    """Compare the regions."""
     assert context.homes.regions() == set(_names(regions)), context.homes.regions()
 
 
 @then('each is refused as not run, for "{reason}"')
 def refused(context: Any, reason: str) -> None:
-    """Look at what the callers are told."""
+    """Check the refusals."""
     assert context.homes.outcomes
     for outcome in context.homes.outcomes:
         assert isinstance(outcome, Refusal), outcome
--- a/features/steps/large_declarations_steps.py
+++ b/features/steps/large_declarations_steps.py
@@ -28,13 +28,13 @@
 
 @then('all routers have it in force within {seconds:d} seconds')
 def in_force(context: Any, seconds: int) -> None:
-    """Wait for it."""
+    """Wait until it is in force."""
     behind = context.large.behind(seconds)
     assert not behind, behind
 
 
 @then('the link of each router carried at most {times:d} times what was written')
 def carried(context: Any, times: int) -> None:
-    """Compare with the document."""
+    """Compare with the size of the document."""
     most = context.large.most_arrived_bytes()
     assert most <= times * len(context.large.document), (most, len(context.large.document))
--- a/features/subjects/admission.py
+++ b/features/subjects/admission.py
@@ -1,4 +1,4 @@
-"""Subject: one router that tells the sidecars beside engines what it has under way."""
+"""Subject: one router that reports its load to the sidecars beside engines."""
 
 import asyncio
 from typing import NamedTuple
@@ -23,7 +23,7 @@
 
 
 class Sidecars(NamedTuple):
-    """The instances that the router knows."""
+    """An instance directory with sidecars only."""
 
     sidecars: tuple[str, ...]
 
@@ -51,25 +51,25 @@
         self._loop.close()
 
     def carry(self, long_per_s: int, short_per_s: int, seconds: float) -> None:
-        """Carry prompts at the engines in turn."""
+        """Send prompts to the engines in turn."""
         self.seconds = seconds
         self._loop.run(self._carry, long_per_s, short_per_s, seconds)
 
     def kill(self, seconds: float) -> None:
-        """End the router, and let time pass."""
+        """Cancel the router's task, and let time pass."""
         self._task.cancel()
         self._loop.run(anyio.sleep, seconds)
 
     def calls_per_s(self) -> float:
-        """Return how many calls the sidecars had a second."""
+        """Return how many calls a second the sidecars got."""
         return self._net.calls[rpcs.ENTER.path] / 2 / self.seconds
 
     def oldest_s(self) -> float:
-        """Return how long ago the sidecar that waits longest heard of the router."""
+        """Return the age of the oldest last report among the sidecars."""
         return self._loop.run(self._oldest_s)
 
     def counted(self) -> list[Load]:
-        """Return what the sidecars count of all routers."""
+        """Return the loads that the sidecars count of all routers."""
         return self._loop.run(self._counted)
 
     async def _start(self) -> None:
--- a/features/subjects/forward_runs.py
+++ b/features/subjects/forward_runs.py
@@ -1,4 +1,4 @@
-"""Subject: one router's forwarded requests, with servers that do as the scenario says."""
+"""Subject: one router's forwarded requests, with servers whose behaviour is scripted."""
 
 import asyncio
 import math
@@ -55,10 +55,10 @@
 
 
 class ScriptedAnswer:
-    """An answer whose events break off where the scenario says."""
+    """A response whose events break off where the scenario says."""
 
     def __init__(self, call: ServerCall, status: int = 200, breaks_after: float = math.inf) -> None:
-        """Answer ``call``; the stream goes on from its last event."""
+        """Answer ``call``; the stream continues after its last event."""
         self.status = status
         self.headers: Pairs = SEAL
         self.own = True
@@ -88,48 +88,48 @@
 
 
 def answers(call: ServerCall) -> ScriptedAnswer:
-    """Answer whole."""
+    """Answer completely."""
     return ScriptedAnswer(call)
 
 
 def fails(call: ServerCall) -> ScriptedAnswer:
-    """Run it, and answer that it failed."""
+    """Run the request, and answer that it failed."""
     return ScriptedAnswer(call, status=500)
 
 
 def promises(call: ServerCall) -> ScriptedAnswer:
-    """Run it, and answer with a status that says it did not run."""
+    """Run the request, and answer with a status that means that it did not run."""
     return ScriptedAnswer(call, status=503)
 
 
 def breaks(call: ServerCall) -> ScriptedAnswer:
-    """Break off after two events, or within a whole body."""
+    """Break off after two events, or within a body."""
     return ScriptedAnswer(call, breaks_after=2)
 
 
 def declines(call: ServerCall) -> ScriptedAnswer:
-    """Say that it did not run."""
+    """Decline the request as not run."""
     answer = ScriptedAnswer(call, status=503)
     answer.declined = True
     return answer
 
 
 def moved(call: ServerCall) -> ScriptedAnswer:
-    """Have the address of a server that is gone."""
+    """Answer as another server at the same address."""
     answer = ScriptedAnswer(call, status=421)
     answer.misdirected = True
     return answer
 
 
 def strays(call: ServerCall) -> ScriptedAnswer:
-    """Answer with what belongs to another request."""
+    """Answer with the response to another request."""
     answer = ScriptedAnswer(call)
     answer.own = False
     return answer
 
 
 def unsealed(call: ServerCall) -> ScriptedAnswer:
-    """Answer with a success that the server does not vouch for."""
+    """Answer with a success without the server's seal."""
     answer = ScriptedAnswer(call)
     answer.sealed = False
     return answer
@@ -141,7 +141,7 @@
 
 
 def lost(call: ServerCall) -> ScriptedAnswer:
-    """Lose the answer."""
+    """Lose the response."""
     raise ServerLost('no answer')
 
 
@@ -165,17 +165,17 @@
 
 
 class ScriptedLinks:
-    """Servers in the order in which they are met."""
+    """Scripted servers, in the order in which they get requests."""
 
     def __init__(self, script: list[str]) -> None:
-        """Take the names of behaviours; the last one goes on for ever."""
+        """Initialize with the names of behaviours; the last one is repeated."""
         self.calls: list[ServerCall] = []
         self.ran = 0
         self._script = script
 
     @asynccontextmanager
     async def exchange(self, call: ServerCall) -> AsyncIterator[ScriptedAnswer]:
-        """Behave as the script says for this sending."""
+        """Behave as the script says for this attempt."""
         name = self._script[min(len(self.calls), len(self._script) - 1)]
         self.calls.append(call)
         if name not in {'declines', 'moved', 'unreached'}:
@@ -186,14 +186,14 @@
         yield BEHAVIOURS[name](call)
 
     async def check(self, server: RouteServer) -> None:
-        """Connect: all servers go on."""
+        """Connect: all servers are running."""
 
 
 class RecordingSink:
-    """What the caller gets."""
+    """Records what the caller gets."""
 
     def __init__(self) -> None:
-        """Start with nothing."""
+        """Initialize without an answer."""
         self.status = 0
         self.body = b''
         self.finished = False
@@ -201,20 +201,20 @@
         self.refusal: Refusal | None = None
 
     async def start(self, status: int, headers: Pairs) -> None:
-        """Take the head of a stream."""
+        """Record the head of a stream."""
         assert not self.status, 'two heads'
         self.status = status
 
     async def write(self, data: bytes) -> None:
-        """Take a part."""
+        """Record a part."""
         self.body += data
 
     async def finish(self) -> None:
-        """Take the end."""
+        """Record the end."""
         self.finished = True
 
     async def reply(self, status: int, headers: Pairs, body: bytes) -> None:
-        """Take a whole answer."""
+        """Record a complete answer."""
         assert not self.status, 'two heads'
         self.status = status
         self.body = body
@@ -223,7 +223,7 @@
         self.finished = True
 
     async def refuse(self, refusal: Refusal) -> None:
-        """Take an answer of the router's own."""
+        """Record an error of the router."""
         assert not self.status, 'two heads'
         self.status = refusal.status
         self.refusal = refusal
@@ -231,14 +231,14 @@
 
 
 class CountingAdmission(NoAdmissionControl):
-    """Sidecars beside engines that count what they are told at once."""
+    """Sidecars beside engines that count urgent reports."""
 
     def __init__(self) -> None:
-        """Start at none."""
+        """Initialize with a count of 0."""
         self.soon_count = 0
 
     def load_changed(self, backend: Backend, soon: bool) -> None:
-        """Count a word that does not wait."""
+        """Count an urgent report."""
         self.soon_count += soon
 
 
@@ -282,11 +282,11 @@
         self._loop.close()
 
     def request(self) -> None:
-        """Carry one request to its end."""
+        """Execute one request."""
         self._loop.run(self._request)
 
     def play(self, moves: Coroutine[Any, Any, None]) -> None:
-        """Make moves of a scenario's own on the loop."""
+        """Run a scenario's own coroutine on the loop."""
 
         async def played() -> None:
             await moves
@@ -294,26 +294,26 @@
         self._loop.run(played)
 
     async def carry(self) -> None:
-        """Carry one request to its end, within moves of a scenario's own."""
+        """Execute one request, within a scenario's own coroutine."""
         await self._request()
 
     def leave_server(self, lifetime: str) -> None:
-        """Have a server say that it leaves."""
+        """Announce that a server leaves."""
         server = self._routing_state.servers[lifetime]
         self._routing_state.update_server(server._replace(leaving=True), 'test')
 
     def use_up(self) -> None:
-        """Leave nothing to reserve from: the store is away before anything was granted."""
+        """Leave nothing to reserve from: the store is unavailable before the first grant."""
         self._store.fail(True)
 
     def declare_plain(self) -> None:
-        """Declare the service without saying how much an event holds."""
+        """Declare the service without the tokens of an event."""
         services = (Service('engines', 100),)
         declared = Declarations(2, (self.route,), services, (self.account,))
         self._routing_state.declare(declared, b'', 'test')
 
     def leave(self) -> None:
-        """Carry one request whose caller leaves after 50 ms."""
+        """Execute one request whose caller disconnects after 50 ms."""
         self._loop.run(self._leave)
 
     def spent(self) -> float:
@@ -321,7 +321,7 @@
         return self.pools.dump()[ACCOUNT]['spent_tokens']
 
     def reserved(self) -> float:
-        """Return the tokens that are still set aside."""
+        """Return the tokens that are still reserved."""
         return self.pools.dump()[ACCOUNT]['reserved_tokens']
 
     def numbers(self) -> list[int]:
--- a/features/subjects/homes.py
+++ b/features/subjects/homes.py
@@ -1,4 +1,4 @@
-"""Subject: one router's placing of requests whose route or account has home regions."""
+"""Subject: one router that places requests whose route or account has home regions."""
 
 from types import MappingProxyType
 
@@ -23,7 +23,7 @@
     """A router that knows one server in each of three data centres."""
 
     def __init__(self) -> None:
-        """Start with nothing evacuated."""
+        """Initialize with no data centre evacuated."""
         self._loop = ScenarioLoop()
         self._clock = LoopClock()
         self._routing_state = RoutingState()
--- a/features/subjects/large_declarations.py
+++ b/features/subjects/large_declarations.py
@@ -1,4 +1,4 @@
-"""Subject: routers on thin links that lost the store, and declarations of thousands of routes."""
+"""Subject: routers on slow links that lost the store, and declarations of thousands of routes."""
 
 import asyncio
 from random import Random
@@ -19,10 +19,10 @@
 from subjects.links_loop import ScenarioLoop
 from subjects.users_platform import CONFIG, ROUTE, module
 
-THIN_BYTES_PER_S = 625_000
+SLOW_LINK_BYTES_PER_S = 625_000
 """A link of 5 Mbit/s."""
 START_S = 3.0
-LOOK_S = 0.02
+CHECK_S = 0.02
 VERSION = 50
 KEY = 'op/config'
 ACCOUNT = RouteAccount('ateliers', (), None, None)
@@ -32,7 +32,7 @@
     """Routers and sidecars over one store; each call runs on one loop in virtual time."""
 
     def __init__(self, routers: int, sidecars: int) -> None:
-        """Start them, and let them find each other."""
+        """Start them, and let them discover each other."""
         self._loop = ScenarioLoop()
         self._clock = LoopClock()
         self._store = MemoryStore(self._clock)
@@ -53,7 +53,7 @@
         self._loop.run(anyio.sleep, 2.0)
 
     def declare(self, routes: int) -> None:
-        """Have the operator write a configuration of many routes."""
+        """Write a configuration of many routes."""
         listed = [
             {**ROUTE, 'name': f'r-{number}', 'prefix': _prefix(number)} for number in range(routes)
         ]
@@ -62,11 +62,11 @@
         self._store.put(KEY, self.document)
 
     def behind(self, seconds: float) -> list[str]:
-        """Return the routers that do not have it in force within a time."""
+        """Return the routers that do not have it in force within ``seconds``."""
         return self._loop.run(self._behind, seconds)
 
     def most_arrived_bytes(self) -> int:
-        """Return what the link of a router carried towards it, at the most."""
+        """Return the most bytes that the link of any router carried towards it."""
         return max(self._net.arrived_bytes[router.address] for router in self.routers)
 
     async def _start(self, routers: int, sidecars: int) -> None:
@@ -88,7 +88,7 @@
 
     async def _start_router(self, name: str, address: str) -> None:
         decoder: Any = module('documents').PlatformDecoder()
-        self._net.thin[address] = THIN_BYTES_PER_S
+        self._net.thin[address] = SLOW_LINK_BYTES_PER_S
         router = CutRouter(name, address, self._net, self._store, decoder)
         router.start(ACCOUNT)
         self.routers.append(router)
@@ -96,7 +96,7 @@
     async def _behind(self, seconds: float) -> list[str]:
         until_unix_s = self._clock.now_s() + seconds
         while self._late() and self._clock.now_s() < until_unix_s:
-            await anyio.sleep(LOOK_S)
+            await anyio.sleep(CHECK_S)
         return self._late()
 
     def _late(self) -> list[str]:
@@ -108,5 +108,5 @@
 
 
 def _prefix(number: int) -> str:
-    """Return a path that does not shrink below 200 bytes, so that all take 0.7 s compressed."""
+    """Return a path that can't be compressed below 200 bytes, so that all together take 0.7 s."""
     return f'/{Random(number).randbytes(200).hex()}/'
