--- a/features/steps/users_platform_steps.py
+++ b/features/steps/users_platform_steps.py
@@ -11,12 +11,12 @@
 from subjects import adapter_names, users_platform
 from subjects.slow_link import SlowScan
 
-MANY = 5
+KEYS = 5
 
 
 @given("a router that follows the users' store")
 def start(context: Any) -> None:
-    """Start following."""
+    """Start a router's store watcher."""
     context.users = users_platform.UsersPlatform()
     context.add_cleanup(context.users.close)
     context.users.follow()
@@ -24,14 +24,14 @@
 
 @when('version {version:d} is configured')
 def configure(context: Any, version: int) -> None:
-    """Write a version and let it arrive."""
+    """Write a version and wait until the router has it."""
     context.users.configure(version)
     context.users.sleep(0.1)
 
 
-@when('version {version:d} is configured and the history is dropped at once')
+@when('version {version:d} is configured and the store drops its history at once')
 def configure_and_drop(context: Any, version: int) -> None:
-    """Write a version that no watch tells."""
+    """Write a version that no watch reports."""
     context.users.down(True)
     context.users.configure(version)
     context.users.memory.forget()
@@ -40,27 +40,27 @@
 
 @when("the operator's document is {text}")
 def document(context: Any, text: str) -> None:
-    """Write what is no configuration."""
+    """Write an invalid configuration."""
     context.users.memory.put('op/config', text.encode())
     context.users.sleep(0.1)
 
 
-@when('the watches fall silent')
+@when('the watches stop receiving')
 def silence(context: Any) -> None:
-    """Swallow the two calls that are made next."""
+    """Leave the next two calls without a response."""
     context.users.transport.silent_calls = 2
     context.users.sleep(1.4)
 
 
 @when('{seconds:d} seconds pass')
-def passes(context: Any, seconds: int) -> None:
-    """Let time pass."""
+def advance(context: Any, seconds: int) -> None:
+    """Advance the clock."""
     context.users.sleep(seconds)
 
 
 @when('server {name} enters')
 def enters(context: Any, name: str) -> None:
-    """Write an entry."""
+    """Write the server's entry."""
     context.users.enter(name)
     context.users.sleep(0.1)
 
@@ -72,43 +72,43 @@
     context.users.sleep(0.1)
 
 
-@then('the life of server {name} that began at {born:d} takes requests')
-def life(context: Any, name: str, born: int) -> None:
-    """Look at it."""
-    lives = [(one.lifetime, one.born_unix_ms) for one in context.users.servers()]
-    assert lives == [(name, born)], lives
+@then('the incarnation of server {name} that started at {born:d} takes requests')
+def incarnation(context: Any, name: str, born: int) -> None:
+    """Check the only server in use."""
+    found = [(one.lifetime, one.born_unix_ms) for one in context.users.servers()]
+    assert found == [(name, born)], found
 
 
-@when('server {name} drains')
+@when('server {name} starts draining')
 def drains(context: Any, name: str) -> None:
-    """Write that it leaves."""
+    """Write an entry with the state "draining"."""
     context.users.enter(name, 'draining')
     context.users.sleep(0.1)
 
 
 @when('server {name} enters at the address of server {other}')
 def enters_at(context: Any, name: str, other: str) -> None:
-    """Write an entry."""
+    """Write an entry with another server's address."""
     context.users.enter_at(name, other)
     context.users.sleep(0.1)
 
 
-@then('server {name} alone takes requests')
-def alone(context: Any, name: str) -> None:
-    """Look at the list."""
+@then('only server {name} takes requests')
+def only_server(context: Any, name: str) -> None:
+    """Check the list of servers in use."""
     assert [one.lifetime for one in context.users.servers()] == [name]
 
 
-@when('server {name} vanishes')
-def vanishes(context: Any, name: str) -> None:
-    """Remove the entry."""
+@when('the entry of server {name} is deleted')
+def delete_entry(context: Any, name: str) -> None:
+    """Delete the entry."""
     context.users.expire(name)
     context.users.sleep(0.1)
 
 
-@when('the store goes down for {seconds:d} seconds while the entries lapse')
-def lapse(context: Any, seconds: int) -> None:
-    """Lapse while nobody can look."""
+@when('the store is down for {seconds:d} seconds and the entries expire')
+def expire(context: Any, seconds: int) -> None:
+    """Delete the entries while the store is down."""
     context.users.down(True)
     context.users.sleep(seconds)
     for name in ('one', 'two'):
@@ -119,19 +119,19 @@
 
 @then('version {version:d} is in force')
 def in_force(context: Any, version: int) -> None:
-    """Compare what its declarations say."""
+    """Check the version of the router's declarations."""
     assert context.users.version() == version, context.users.version()
 
 
 @then('{count:d} servers take requests')
 def count_servers(context: Any, count: int) -> None:
-    """Look at the list."""
+    """Check the number of servers in use."""
     assert len(context.users.servers()) == count, context.users.servers()
 
 
 @then('the example configuration is read into routes, services, accounts and limits')
 def read_config(context: Any) -> None:
-    """Compare field by field."""
+    """Check the decoded fields."""
     declared = users_platform.declared()
     route = declared.routes[0]
     assert (route.host, route.prefix, route.max_attempts) == ('boards.example', '/b/', 2)
@@ -143,32 +143,32 @@
     assert (declared.limits.header_bytes, declared.limits.header_ms) == (999, 2000)
 
 
-@then('a worker says "{leaving}" and "{again}", and no client says the first for it')
-def worker_headers(context: Any, leaving: str, again: str) -> None:
-    """Compare the header names of the platform."""
+@then('workers send "{leaving}" and "{retry_after}", and no client can set the first')
+def worker_headers(context: Any, leaving: str, retry_after: str) -> None:
+    """Check the names of these headers, and that the first is reserved."""
     header_names = users_platform.header_names()
-    assert (header_names.leaving, header_names.retry_after) == (leaving, again)
+    assert (header_names.leaving, header_names.retry_after) == (leaving, retry_after)
     assert leaving in header_names.reserved
 
 
-@then('these are the names of its other headers')
+@then('these are the names of the other headers')
 def other_headers(context: Any) -> None:
-    """Compare them with the header names of the adapter."""
+    """Check the header names of the adapter."""
     header_names = users_platform.header_names()
     for row in context.table:
         assert getattr(header_names, row['for']) == row['header'], row
 
 
-@then('a list that may be seconds old is asked for with "{word}"')
-def stale(context: Any, word: str) -> None:
-    """Look at what the store was asked."""
+@then('a list that may be stale is requested with "{parameter}"')
+def stale(context: Any, parameter: str) -> None:
+    """Check the query that the store got."""
     context.users.call('list_stale', 'servers/')
-    assert word in context.users.gateway.asked[-1], context.users.gateway.asked
+    assert parameter in context.users.gateway.queries[-1], context.users.gateway.queries
 
 
 @then("the settings file becomes the product's settings")
 def node(context: Any) -> None:
-    """Compare some fields."""
+    """Check some fields of a router's and a sidecar's settings."""
     settings, store_address = users_platform.read_node(users_platform.NODE)
     assert (settings.place.instance, settings.place.http_listen) == ('edge-1', '10.1.0.40:8227')
     assert settings.forward.retry_slack == 56
@@ -178,18 +178,18 @@
     assert store_address == '10.200.1.7:8223'
 
 
-@then('a settings file without "{field}" is refused and named')
+@then('a settings file without "{field}" is rejected with an error that names it')
 def node_without(context: Any, field: str) -> None:
-    """Leave a table out."""
+    """Read a file without this table."""
     text = users_platform.NODE.replace(f'[{field}]', '[other]')
-    refused = users_platform.read_node(text)
-    assert isinstance(refused, str), refused
-    assert field in refused, refused
+    error = users_platform.read_node(text)
+    assert isinstance(error, str), error
+    assert field in error, error
 
 
-@then('a key is read, written under its version, and refused under another')
+@then('a key is read, written with its version, and a write with another version is refused')
 def key(context: Any) -> None:
-    """Go through one key's life."""
+    """Read, create, read and overwrite a key."""
     users = context.users
     assert isinstance(users.call('read', 'my/key'), Absent)
     written = users.call('swap', 'my/key', b'one', 0)
@@ -200,26 +200,26 @@
     assert (refused.version, refused.value) == (written.version, b'one')
 
 
-@then('a list of many pages is read whole')
+@then('a list of several pages is read completely')
 def pages(context: Any) -> None:
-    """List more than a page."""
-    for number in range(MANY):
+    """List more keys than a page holds."""
+    for number in range(KEYS):
         context.users.call('swap', f'many/{number}', b'x', 0)
-    assert len(context.users.call('list', 'many/')) == MANY
+    assert len(context.users.call('list', 'many/')) == KEYS
 
 
-@then('a lost answer to a write is told as unsure')
-def unsure(context: Any) -> None:
-    """Lose an answer."""
-    context.users.gateway.lose = 1
+@then('a write whose response is lost is reported as unconfirmed')
+def unconfirmed(context: Any) -> None:
+    """Lose the response to a write."""
+    context.users.gateway.lost_responses = 1
     outcome = context.users.call('swap', 'my/lost', b'x', 0)
     assert isinstance(outcome, StoreWriteUnconfirmed), outcome
     assert isinstance(context.users.call('read', 'my/lost'), Stored)
 
 
-@then('a write that the store refuses is told as not done')
+@then('a write that the store refuses is reported as not applied')
 def refused(context: Any) -> None:
-    """Refuse a write."""
+    """Write while the store refuses all calls."""
     context.users.gateway.status = 429
     outcome = context.users.call('swap', 'my/refused', b'x', 0)
     assert isinstance(outcome, StoreUnreachable), outcome
@@ -227,33 +227,33 @@
     assert isinstance(context.users.call('read', 'my/refused'), Absent)
 
 
-@when('a list takes 2 seconds to arrive, and answers have to begin within half a second')
+@when('a list takes 2 seconds to arrive, and responses must begin within half a second')
 def slow_list(context: Any) -> None:
-    """Scan over such a link."""
+    """Scan over a link that delivers the response slowly."""
     context.scan = SlowScan(stalls=False)
 
 
-@when('a list stops coming after 1 second, and answers have to begin within half a second')
+@when('a list stops arriving after 1 second, and responses must begin within half a second')
 def stalled_list(context: Any) -> None:
-    """Scan over such a link."""
+    """Scan over a link that delivers half of the response."""
     context.scan = SlowScan(stalls=True)
 
 
-@then('it is read whole')
-def read_whole(context: Any) -> None:
-    """Look at the version that it told."""
+@then('the list is read completely')
+def read_completely(context: Any) -> None:
+    """Check the version that the scan returned."""
     assert context.scan.version == 7, context.scan.failure
 
 
-@then('it counts as lost after {seconds:g} seconds at most')
+@then('the list counts as lost after {seconds:g} seconds at most')
 def counts_as_lost(context: Any, seconds: float) -> None:
-    """Look at the time that it took."""
+    """Check that the scan failed, and its duration."""
     assert context.scan.failure
     assert context.scan.took_s <= seconds, context.scan.took_s
 
 
-@then('each of its names stands in a test')
+@then('each of its names occurs in a test')
 def names_tested(context: Any) -> None:
-    """Compare the names of the sources."""
+    """Look for the names of the adapter's source in the tests."""
     assert len(adapter_names.known()) > 50
     assert not adapter_names.untested(), adapter_names.untested()
--- a/features/subjects/adapter_names.py
+++ b/features/subjects/adapter_names.py
@@ -1,4 +1,4 @@
-"""Subject: the names of the users' platform that the adapter knows, and where tests use them."""
+"""Subject: the names of the users' platform in the adapter's source, and whether tests use them."""
 
 import ast
 import pathlib
@@ -6,27 +6,27 @@
 from collections.abc import Iterator
 
 ROOT = pathlib.Path(__file__).parent.parent.parent
-READS = frozenset(('get', 'pop'))
-TESTS = ('features/subjects/*.py', 'features/steps/*.py', 'features/*.feature')
-OWN = frozenset(('ENDIVESADDLE_NODE_FILE',))
-"""A variable that names a file is no name of a document."""
+READ_METHODS = frozenset(('get', 'pop'))
+TEST_FILES = ('features/subjects/*.py', 'features/steps/*.py', 'features/*.feature')
+OWN_NAMES = frozenset(('ENDIVESADDLE_NODE_FILE',))
+"""Environment variables, which are not names in the platform's documents."""
 
 
 def known() -> dict[str, str]:
-    """Return each name that the adapter reads or writes, with the module that does."""
+    """Return the names that the adapter reads or writes, each with its module."""
     found: dict[str, str] = {}
     for path in sorted((ROOT / 'platform').glob('*.py')):
-        names = set(_names(ast.parse(path.read_text()))) - OWN
+        names = set(_names(ast.parse(path.read_text()))) - OWN_NAMES
         found.update(dict.fromkeys(names, path.name))
     return found
 
 
 def untested() -> dict[str, str]:
-    """Return those that no test has."""
-    texts = [path.read_text() for pattern in TESTS for path in ROOT.glob(pattern)]
-    words = set(re.findall(r'[\w-]+', '\n'.join(texts)))
+    """Return the names that occur in no test, each with its module."""
+    texts = [path.read_text() for pattern in TEST_FILES for path in ROOT.glob(pattern)]
+    words_in_tests = set(re.findall(r'[\w-]+', '\n'.join(texts)))
     found = known()
-    return {name: found[name] for name in set(found) - words}
+    return {name: found[name] for name in set(found) - words_in_tests}
 
 
 def _names(tree: ast.Module) -> Iterator[str]:
@@ -48,8 +48,8 @@
 
 
 def _called(call: ast.Call) -> Iterator[str]:
-    """Yield what is read by name, and the values of the table of headers."""
-    if isinstance(call.func, ast.Attribute) and call.func.attr in READS:
+    """Yield the names that a call reads, and the values of the table of header names."""
+    if isinstance(call.func, ast.Attribute) and call.func.attr in READ_METHODS:
         yield from _texts(call.args[:1])
     elif isinstance(call.func, ast.Name) and call.func.id == 'HeaderNames':
         yield from _texts([keyword.value for keyword in call.keywords])
--- a/features/subjects/kv_gateway.py
+++ b/features/subjects/kv_gateway.py
@@ -1,4 +1,4 @@
-"""A stand-in of the users' key-value store over HTTP, from its published protocol."""
+"""A stand-in for the users' key-value store over HTTP, written from its published protocol."""
 
 import base64
 from collections.abc import Callable
@@ -14,18 +14,22 @@
 from endivesaddle.fleet.sentinels import Absent, Conflict
 from endivesaddle.stand_ins.memory_store import MemoryStore
 
-ENOUGH_S = 60
+STORE_TIMEOUT_S = 60
 PAGE = 2
 
 
 class KvGateway:
-    """An ASGI application over a store in memory; ``status`` replaces all answers."""
+    """An ASGI application over a store in memory.
+
+    A ``status`` other than 0 is the status of all responses; the next ``lost_responses`` calls
+    are executed but get no response.
+    """
 
     def __init__(self, store: MemoryStore, clock: Clock) -> None:
-        """Answer from ``store``."""
+        """Initialize with a store that the calls read and write."""
         self.status = 0
-        self.lose = 0
-        self.asked: list[dict[str, str]] = []
+        self.lost_responses = 0
+        self.queries: list[dict[str, str]] = []
         self._store = store
         self._clock = clock
 
@@ -36,18 +40,18 @@
             await _reply(send, self.status, {})
             return
         query = dict(parse_qsl(scope.get('query_string', b'').decode()))
-        self.asked.append(query)
+        self.queries.append(query)
         try:
-            status, document = await self._answer(scope['path'], query, body)
+            status, document = await self._respond(scope['path'], query, body)
         except StoreUnreachable:
-            # A store that is down says nothing.
+            # A store that is down does not respond.
             await anyio.sleep_forever()
-        if self.lose:
-            self.lose -= 1
+        if self.lost_responses:
+            self.lost_responses -= 1
             await anyio.sleep_forever()
         await _reply(send, status, document)
 
-    async def _answer(
+    async def _respond(
         self, path: str, query: dict[str, str], body: bytes
     ) -> tuple[int, dict[str, Any]]:
         if path == '/kv-key':
@@ -59,13 +63,13 @@
         return await self._write(path, body)
 
     async def _key(self, key: str) -> tuple[int, dict[str, Any]]:
-        stored = await self._store.read(key, self._until())
+        stored = await self._store.read(key, self._deadline_unix_s())
         if isinstance(stored, Absent):
             return 404, {}
         return 200, {**_item(stored), 'store_revision': 1}
 
     async def _range(self, prefix: str, after: str) -> tuple[int, dict[str, Any]]:
-        changes = await self._store.scan(prefix, self._until())
+        changes = await self._store.scan(prefix, self._deadline_unix_s())
         rest = [stored for stored in changes.entries if stored.key > after]
         page = [_item(stored) for stored in rest[:PAGE]]
         return 200, {
@@ -77,7 +81,7 @@
     async def _watch(self, query: dict[str, str]) -> tuple[int, dict[str, Any]]:
         wait_s = int(query['wait_ms']) / 1000
         changes = await self._store.poll(
-            query['prefix'], int(query['after']), wait_s, self._until()
+            query['prefix'], int(query['after']), wait_s, self._deadline_unix_s()
         )
         if isinstance(changes, Absent):
             return 410, {}
@@ -87,14 +91,16 @@
     async def _write(self, path: str, body: bytes) -> tuple[int, dict[str, Any]]:
         if path == '/kv-lease':
             lease = await self._store.grant(
-                msgspec.json.decode(body)['ttl_ms'] // 1000, self._until()
+                msgspec.json.decode(body)['ttl_ms'] // 1000, self._deadline_unix_s()
             )
             return 200, {'lease': lease, 'ttl_ms': 1}
         if path.startswith('/kv-keep/'):
-            kept = await self._store.keep_alive(int(path.rpartition('/')[2]), self._until())
+            kept = await self._store.keep_alive(
+                int(path.rpartition('/')[2]), self._deadline_unix_s()
+            )
             return (200 if kept else 404), {'ttl_ms': 1}
         if path.startswith('/kv-lease-end/'):
-            await self._store.end_lease(int(path.rpartition('/')[2]), self._until())
+            await self._store.end_lease(int(path.rpartition('/')[2]), self._deadline_unix_s())
             return 200, {}
         change = msgspec.json.decode(body)
         put, expected = change['puts'][0], change['expected_rev'][0]
@@ -102,7 +108,7 @@
             put['key'],
             base64.b64decode(put['value']),
             expected['revision'],
-            self._until(),
+            self._deadline_unix_s(),
             put['lease'],
         )
         if isinstance(written, Conflict):
@@ -110,8 +116,8 @@
             return 412, {'entries': [_item(current)] if current else []}
         return 200, {'revision': written.version}
 
-    def _until(self) -> float:
-        return self._clock.now_s() + ENOUGH_S
+    def _deadline_unix_s(self) -> float:
+        return self._clock.now_s() + STORE_TIMEOUT_S
 
 
 def _item(stored: Stored) -> dict[str, Any]:
--- a/features/subjects/slow_link.py
+++ b/features/subjects/slow_link.py
@@ -1,4 +1,4 @@
-"""Subject: the users' store behind a link that brings a large answer slowly."""
+"""Subject: the users' store behind a link that delivers a large response slowly."""
 
 from collections.abc import AsyncIterator
 
@@ -14,45 +14,45 @@
 
 CHUNK_S = 0.2
 CHUNKS = 10
-LIMIT_S = 0.5
-ANSWER = msgspec.json.encode({'entries': [], 'more_pages': False, 'store_revision': 7})
+DEADLINE_S = 0.5
+RESPONSE = msgspec.json.encode({'entries': [], 'more_pages': False, 'store_revision': 7})
 
 
 class SlowBody(httpx.AsyncByteStream):
-    """A body that comes in pieces, and may stop coming."""
+    """A body that arrives in chunks and may stop arriving."""
 
     def __init__(self, stalls: bool) -> None:
-        """Bring all of it, or the half."""
-        self._pieces = CHUNKS // 2 if stalls else CHUNKS
+        """Deliver the whole body, or half of it if ``stalls``."""
+        self._chunks = CHUNKS // 2 if stalls else CHUNKS
         self._stalls = stalls
 
     async def __aiter__(self) -> AsyncIterator[bytes]:
-        """Yield a piece now and then."""
-        size = len(ANSWER) // CHUNKS + 1
-        for number in range(self._pieces):
+        """Yield a chunk every ``CHUNK_S`` seconds."""
+        size = len(RESPONSE) // CHUNKS + 1
+        for number in range(self._chunks):
             await anyio.sleep(CHUNK_S)
-            yield ANSWER[number * size : (number + 1) * size]
+            yield RESPONSE[number * size : (number + 1) * size]
         if self._stalls:
             await anyio.sleep_forever()
 
 
 class SlowLink(httpx.AsyncBaseTransport):
-    """Answers at once, with a body that comes slowly."""
+    """A transport that responds at once, with a body that arrives slowly."""
 
     def __init__(self, stalls: bool) -> None:
-        """Let the body stop coming, or not."""
+        """Initialize with whether the body stops arriving."""
         self._stalls = stalls
 
     async def handle_async_request(self, request: httpx.Request) -> httpx.Response:
-        """Answer."""
+        """Return the response with the slow body."""
         return httpx.Response(200, stream=SlowBody(self._stalls))
 
 
 class SlowScan:
-    """One scan of the store over such a link."""
+    """One scan of the store over a slow link."""
 
     def __init__(self, stalls: bool) -> None:
-        """Make it."""
+        """Run the scan and record its version, duration and failure."""
         self.version = 0
         self.took_s = 0.0
         self.failure = ''
@@ -65,7 +65,7 @@
         store = module('kv_store').KvStore('10.0.0.1:1', clock, HttpxLinks(SlowLink(stalls)))
         began_unix_s = clock.now_s()
         try:
-            self.version = (await store.scan('op/config', began_unix_s + LIMIT_S)).version
+            self.version = (await store.scan('op/config', began_unix_s + DEADLINE_S)).version
         except StoreUnreachable as error:
             self.failure = str(error)
         self.took_s = clock.now_s() - began_unix_s
--- a/features/subjects/users_platform.py
+++ b/features/subjects/users_platform.py
@@ -97,10 +97,10 @@
 
 
 class UsersPlatform:
-    """One adapter and one router's knowledge that follows the store."""
+    """One adapter, and a router's routing state that follows the store."""
 
     def __init__(self) -> None:
-        """Start with an empty store."""
+        """Initialize with an empty store."""
         self._loop = ScenarioLoop()
         self._clock = LoopClock()
         self.memory = MemoryStore(self._clock)
@@ -114,7 +114,7 @@
         self._loop.close()
 
     def call(self, name: str, *arguments: Any) -> Any:
-        """Call the store's client; return what it gave, or the error."""
+        """Call a method of the store client; return its result or its ``FleetError``."""
         return self._loop.run(self._call, name, arguments)
 
     def follow(self) -> None:
@@ -122,33 +122,33 @@
         self._loop.run(self._follow)
 
     def sleep(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance the clock."""
         self._loop.run(anyio.sleep, seconds)
 
     def configure(self, version: int) -> None:
-        """Have the operator write a version."""
+        """Write a configuration of this version, as the operator does."""
         self._loop.run(self._put, 'op/config', {**CONFIG, 'version': version})
 
     def write(self, key: str, document: Mapping[str, Any]) -> None:
-        """Write a key, and let the router hear of it."""
+        """Write a key and wait until the router has it."""
         self._loop.run(self._put, key, dict(document))
         self.sleep(0.1)
 
     def enter(self, name: str, state: str = 'ready') -> None:
-        """Have a server write its entry."""
+        """Write a server's entry."""
         self.enter_with(name, 'state', state)
 
     def enter_with(self, name: str, field: str, value: Any) -> None:
-        """Have an entry written with one field changed."""
+        """Write a server's entry with one field changed."""
         entry = {**ENTRY, 'address': ADDRESSES[name], field: value}
         self._loop.run(self._put, f'servers/{name}', entry)
 
     def enter_at(self, name: str, other: str) -> None:
-        """Have a server write its entry with the address of another one."""
+        """Write a server's entry with the address of another server."""
         self.enter_with(name, 'address', ADDRESSES[other])
 
     def expire(self, name: str) -> None:
-        """Have a server's entry vanish."""
+        """Delete a server's entry."""
         self._loop.run(self._remove, f'servers/{name}')
 
     def down(self, down: bool) -> None:
@@ -199,7 +199,7 @@
 
 
 def read_node(text: str, role: str = 'router') -> Any:
-    """Read a settings file for a role; return the settings and the store, or the error's text."""
+    """Return the settings and the store's address for a role, or the text of the error."""
     node_file = module('node_file')
     with tempfile.TemporaryDirectory() as folder:
         path = pathlib.Path(folder) / 'node.toml'
@@ -212,7 +212,7 @@
 
 
 def declared() -> Any:
-    """Read the example of a configuration."""
-    read = module('documents').read_config(msgspec.json.encode(dict(CONFIG)))
-    assert read.routes[0].repeat is Repeat.STREAMED
-    return read
+    """Decode the example configuration."""
+    declarations = module('documents').read_config(msgspec.json.encode(dict(CONFIG)))
+    assert declarations.routes[0].repeat is Repeat.STREAMED
+    return declarations
--- a/features/users_platform.feature
+++ b/features/users_platform.feature
@@ -1,10 +1,10 @@
 Feature: The adapter of the users' platform
-  It translates the platform's documents, store and headers into the product's own types.
+  It translates the platform's documents, store calls and headers into the product's types.
 
-  Scenario: A configuration
+  Scenario: A valid configuration is decoded
     Then the example configuration is read into routes, services, accounts and limits
 
-  Scenario Outline: A document that is no configuration changes nothing
+  Scenario Outline: An invalid configuration document is ignored
     Given a router that follows the users' store
     When the operator's document is <text>
     And version 3 is configured
@@ -16,14 +16,14 @@
       | {"version":2} |
       | []            |
 
-  Scenario: Settings
+  Scenario: The settings file is read
     Then the settings file becomes the product's settings
-    And a settings file without "bounds" is refused and named
+    And a settings file without "bounds" is rejected with an error that names it
 
-  Scenario: The headers of workers
-    A word of theirs under another name than the router reads is never heard.
-    Then a worker says "server-leaving" and "retry-after", and no client says the first for it
-    And these are the names of its other headers
+  Scenario: The names of the worker headers
+    A router ignores a worker's header if it looks for it under another name.
+    Then workers send "server-leaving" and "retry-after", and no client can set the first
+    And these are the names of the other headers
       | header           | for         |
       | attempt-id       | request_id  |
       | deadline-ms      | deadline_ms |
@@ -37,45 +37,45 @@
       | last-event-id    | last_event  |
       | server-limit     | limit       |
 
-  Scenario: The store's calls
+  Scenario: The calls to the store
     Given a router that follows the users' store
-    Then a key is read, written under its version, and refused under another
-    And a list of many pages is read whole
-    And a list that may be seconds old is asked for with "allow_stale"
-    And a lost answer to a write is told as unsure
-    And a write that the store refuses is told as not done
+    Then a key is read, written with its version, and a write with another version is refused
+    And a list of several pages is read completely
+    And a list that may be stale is requested with "allow_stale"
+    And a write whose response is lost is reported as unconfirmed
+    And a write that the store refuses is reported as not applied
 
-  Scenario: A version never goes back
+  Scenario: An older version never replaces a newer one
     Given a router that follows the users' store
     When version 5 is configured
     And version 4 is configured
     Then version 5 is in force
 
-  Scenario: A change is in force within two seconds though the watch fell silent
-    The connection of the watch loses track of its other end: no error ever comes.
+  Scenario: A change is in force within two seconds although the watch receives nothing
+    The connection of the watch is half-open: nothing arrives, and no error is reported.
     Given a router that follows the users' store
-    When the watches fall silent
+    When the watches stop receiving
     And version 5 is configured
     And 2 seconds pass
     Then version 5 is in force
 
-  Scenario: A change made while the history is dropped
+  Scenario: A change is applied although the store dropped its history
     Given a router that follows the users' store
-    When version 5 is configured and the history is dropped at once
+    When version 5 is configured and the store drops its history at once
     And 2 seconds pass
     Then version 5 is in force
 
-  Scenario: A server that leaves gets nothing more
+  Scenario: A server that drains or disappears gets no more requests
     Given a router that follows the users' store
     When server one enters
     And server two enters
-    And server one drains
-    And server two vanishes
+    And server one starts draining
+    And the entry of server two is deleted
     Then 0 servers take requests
 
-  Scenario Outline: An entry that can't be read names no server to use
-    Another writer left it, or wrote over the entry of a server.  Taken as it is, a request would
-    be sent nowhere, or the router's view of all servers would end there.
+  Scenario Outline: A server with an invalid entry gets no requests
+    Another writer created the entry or overwrote that of a server.  If the router used it as it
+    is, it would send requests to no server, or stop updating its list of servers.
     Given a router that follows the users' store
     When server one enters
     And server two enters
@@ -94,44 +94,45 @@
       | service | null          |
       | born    | "yesterday"   |
 
-  Scenario: A server that starts again under its name is another life
-    Its entry of before may still come in late, and must not take the place of the new one.
+  Scenario: A server that restarts under the same name is a new incarnation
+    The entry of the earlier incarnation may arrive late and must not replace the new one.
     Given a router that follows the users' store
     When the entry of server one is written with born as 2000
     And the entry of server one is written with born as 1000
-    Then the life of server one that began at 2000 takes requests
+    Then the incarnation of server one that started at 2000 takes requests
 
-  Scenario: A server that has the address of an earlier one takes its place
-    All servers lost power and came back with new names at their addresses; the entries of before
-    stayed for seconds.  Requests went to these first, and were turned away.
+  Scenario: A server replaces an earlier one that had the same address
+    After a power loss all servers come back under new names at their old addresses, and the old
+    entries stay for seconds.  Requests to the old names go there first and are turned away.
     Given a router that follows the users' store
     When server one enters
     And server two enters at the address of server one
-    Then server two alone takes requests
+    Then only server two takes requests
 
-  Scenario: Servers whose entries lapsed with an outage stay in use
-    The store was down, and the entries of all servers lapsed with it.  They are back within
-    two seconds of its return; had the router believed the empty list, it would have refused
-    every request till then.
+  Scenario: Servers whose entries expire during a store outage stay in use
+    The entries of all servers expire while the store is down, and are written again within two
+    seconds of its return.  If the router used the empty list, it would refuse every request
+    until then.
     Given a router that follows the users' store
     When server one enters
     And server two enters
-    And the store goes down for 4 seconds while the entries lapse
+    And the store is down for 4 seconds and the entries expire
     Then 2 servers take requests
     When server one enters
     And 3 seconds pass
     Then 1 servers take requests
 
-  Scenario: A large answer is read for as long as it arrives
-    A router has a link of 5 Mbit/s, and the configuration has 2,000 routes.  With one time limit
-    over the whole answer it never got it, and refused every request from its start on.
-    When a list takes 2 seconds to arrive, and answers have to begin within half a second
-    Then it is read whole
+  Scenario: A large response is read as long as data keeps arriving
+    A router has a link of 5 Mbit/s, and the configuration has 2,000 routes.  With a single time
+    limit for the whole response it never gets the configuration and refuses every request from
+    its start on.
+    When a list takes 2 seconds to arrive, and responses must begin within half a second
+    Then the list is read completely
 
-  Scenario: An answer that stops coming is none
-    When a list stops coming after 1 second, and answers have to begin within half a second
-    Then it counts as lost after 1.6 seconds at most
+  Scenario: A response that stops arriving counts as lost
+    When a list stops arriving after 1 second, and responses must begin within half a second
+    Then the list counts as lost after 1.6 seconds at most
 
-  Scenario: Each name that the adapter knows has a test
-    Words that nobody read, or that were read under another name, broke rules three times.
-    Then each of its names stands in a test
+  Scenario: Each name that the adapter uses occurs in a test
+    Three faults came from names that nothing read or that were read under another name.
+    Then each of its names occurs in a test
