--- a/features/steps/cold_bursts_steps.py
+++ b/features/steps/cold_bursts_steps.py
@@ -7,7 +7,7 @@
 from subjects.cold_bursts import ColdBurst, WarmServer
 
 
-@when('{per_s:d} requests a second meet a cold server and {routers:d} routers by {policy}')
+@when('{per_s:d} requests a second are sent to a cold server by {routers:d} routers with {policy}')
 def play(context: Any, per_s: int, routers: int, policy: str) -> None:
     """Send them."""
     context.burst = ColdBurst(policy, routers)
@@ -35,6 +35,6 @@
 
 @then('no request before the last second is kept')
 def kept(context: Any) -> None:
-    """Look at when the oldest one that is kept counts no more."""
+    """Check when the oldest kept request leaves the window."""
     now_unix_s = context.warm.now_unix_s
     assert context.warm.backend.next_send_unix_s(now_unix_s) >= now_unix_s
--- a/features/steps/placing_steps.py
+++ b/features/steps/placing_steps.py
@@ -23,7 +23,7 @@
 
 @when(
     '{engines:d} engines and {routers:d} routers carry {per_s:d} requests a second '
-    'for {seconds:d} seconds, {hot:d} of 100 of one subject'
+    'for {seconds:d} seconds, {hot:d} of 100 about one subject'
 )
 def carry(context: Any, engines: int, routers: int, per_s: int, seconds: int, hot: int) -> None:
     """Replay the load under each policy."""
@@ -32,14 +32,14 @@
         load = PlacingLoad(engines, routers)
         load.play(policy, per_s, seconds, hot / HUNDRED)
         context.loads[policy] = load
-    untold = PlacingLoad(engines, routers, told=False)
-    untold.play('earliest_first_event', per_s, seconds, hot / HUNDRED)
-    context.loads['untold'] = untold
+    without_reports = PlacingLoad(engines, routers, reports=False)
+    without_reports.play('earliest_first_event', per_s, seconds, hot / HUNDRED)
+    context.loads['without reports'] = without_reports
 
 
-@then('{ours} reads at least {less:d} of 100 fewer shared tokens than {baseline}')
+@then('{ours} processes at least {less:d} of 100 fewer shared tokens than {baseline}')
 def fewer(context: Any, ours: str, less: int, baseline: str) -> None:
-    """Compare the tokens."""
+    """Compare the tokens processed."""
     read = context.loads[ours].shared_tokens
     other = context.loads[baseline].shared_tokens
     assert read <= other * (1 - less / HUNDRED), (read, other)
@@ -62,7 +62,7 @@
 
 @when('{engines:d} engines and {routers:d} routers carry {bursts:d} bursts of large prompts')
 def carry_bursts(context: Any, engines: int, routers: int, bursts: int) -> None:
-    """Replay them with and without telling at once."""
+    """Replay them with and without immediate reports."""
     context.bursts = {}
     for at_once in (False, True):
         load = BurstLoad(engines, routers, at_once)
@@ -70,14 +70,14 @@
         context.bursts[at_once] = load
 
 
-@then('at most a third as many are late when large prompts are told at once as when not')
+@then('at most a third as many are late when large prompts are reported at once as when not')
 def third_late(context: Any) -> None:
     """Compare late first tokens."""
     counts = context.bursts[True].late, context.bursts[False].late
     assert counts[0] <= counts[1] / 3, counts
 
 
-@then('at most {most:d} of 100 are late when large prompts are told at once')
+@then('at most {most:d} of 100 are late when large prompts are reported at once')
 def few_late(context: Any, most: int) -> None:
     """Look at the share."""
     load = context.bursts[True]
@@ -86,7 +86,7 @@
 
 @when(
     '{engines:d} engines and {routers:d} routers carry {per_s:d} prompts a second '
-    'for {seconds:d} seconds, hearing of each other late'
+    'for {seconds:d} seconds, with late reports from each other'
 )
 def carry_late(context: Any, engines: int, routers: int, per_s: int, seconds: int) -> None:
     """Replay them with and without sidecars beside the engines."""
@@ -113,10 +113,10 @@
 
 @when('one of 3 plain servers fails all its requests for {seconds:d} seconds')
 def fail(context: Any, seconds: int) -> None:
-    """Send steadily; note who is met while it fails and after."""
+    """Send at a constant rate, and record the choices during the failure and after."""
     servers = [RouteServer(f'life-{n}', 'plain', f'{n}:1', 'a', 6) for n in range(3)]
     backends = [Backend(server) for server in servers]
-    context.met = {'failing': [], 'mended': []}
+    context.chosen = {'failing': [], 'repaired': []}
     for number in range(PER_S * (MENDED_S + FAILING_S)):
         now_unix_s = number / PER_S
         routing_request = ForwardRoutingRequest(str(number), 'plain')
@@ -125,21 +125,21 @@
         )
         failing = now_unix_s < seconds
         if failing or now_unix_s > MENDED_S:
-            context.met['failing' if failing else 'mended'].append(backend is backends[0])
+            context.chosen['failing' if failing else 'repaired'].append(backend is backends[0])
         backend.start_request(routing_request, now_unix_s)
         backend.end_request(routing_request)
         backend.record_outcome(not failing or backend is not backends[0], now_unix_s)
 
 
-@then('it is met by at most {most:d} of 100 requests while it fails')
-def met_failing(context: Any, most: int) -> None:
+@then('it gets at most {most:d} of 100 requests while it fails')
+def chosen_failing(context: Any, most: int) -> None:
     """Look at the share."""
-    met = context.met['failing']
-    assert sum(met) / len(met) <= most / HUNDRED, sum(met) / len(met)
+    chosen = context.chosen['failing']
+    assert sum(chosen) / len(chosen) <= most / HUNDRED, sum(chosen) / len(chosen)
 
 
-@then('by at least {least:d} of 100 from {after:d} seconds after it is mended')
-def met_mended(context: Any, least: int, after: int) -> None:
+@then('it gets at least {least:d} of 100 from {after:d} seconds after it is repaired')
+def chosen_repaired(context: Any, least: int, after: int) -> None:
     """Look at the share."""
-    met = context.met['mended']
-    assert sum(met) / len(met) >= least / HUNDRED, sum(met) / len(met)
+    chosen = context.chosen['repaired']
+    assert sum(chosen) / len(chosen) >= least / HUNDRED, sum(chosen) / len(chosen)
--- a/features/steps/server_limits_steps.py
+++ b/features/steps/server_limits_steps.py
@@ -12,15 +12,15 @@
     '{routers:d} routers with {sidecars:d} sidecars and {servers:d} servers in three data centres'
 )
 def start(context: Any, routers: int, sidecars: int, servers: int) -> None:
-    """Start them."""
+    """Start the routers, sidecars and servers."""
     context.play = LimitedFleet(routers, servers, sidecars)
     context.add_cleanup(context.play.close)
 
 
-@when('server {server:d} names a limit of "{limit}" in answers with status {status:d}')
-def name_limit(context: Any, server: int, limit: str, status: int) -> None:
-    """Have it say so."""
-    context.play.name_limit(server, limit, status)
+@when('server {server:d} advertises a limit of "{limit}" in responses with status {status:d}')
+def advertise_limit(context: Any, server: int, limit: str, status: int) -> None:
+    """Let it advertise the limit."""
+    context.play.advertise_limit(server, limit, status)
 
 
 @then(
@@ -41,32 +41,32 @@
 
 @then('each of them was answered')
 def answered(context: Any) -> None:
-    """Look at what the callers have."""
+    """Check the status of all responses."""
     assert context.play.sinks
     assert {sink.status for sink in context.play.sinks} == {200}
 
 
-@then('the routers counted at least {least:d} that passed it over')
+@then('the routers counted at least {least:d} placements that skipped it')
 def counted(context: Any, least: int) -> None:
-    """Look at their counters."""
-    assert context.play.withheld() >= least, context.play.withheld()
+    """Check the counters of the routers."""
+    assert context.play.throttled() >= least, context.play.throttled()
 
 
-@when('server {server:d} names no limit any more')
-def name_none(context: Any, server: int) -> None:
-    """Have its next answers be plain."""
-    context.play.name_none(server)
+@when('server {server:d} advertises no limit any more')
+def stop_advertising(context: Any, server: int) -> None:
+    """Let its next responses have no limit."""
+    context.play.stop_advertising(server)
 
 
-@when('server {server:d} takes 2 seconds for an answer, and meanwhile names a limit of "{limit}"')
+@when('server {server:d} takes 2 seconds for a response and advertises a limit of "{limit}"')
 def answer_late(context: Any, server: int, limit: str) -> None:
-    """Have one answer be begun before the server names its limit, and come after."""
+    """Let a response begin before the server advertises its limit, and arrive after."""
     context.play.answer_late(server, limit)
 
 
-@when('the answer that was begun before has come')
+@when('the response that was begun before has arrived')
 def late_came(context: Any) -> None:
-    """Wait for it."""
+    """Wait for the delayed response."""
     context.play.await_late()
 
 
@@ -85,11 +85,11 @@
 
 
 @when(
-    '{per_s:d} requests a second meet a server that names {limit:g} '
-    'and {routers:d} routers by {policy}'
+    '{per_s:d} requests a second are sent to a server that advertises {limit:g} '
+    'by {routers:d} routers with {policy}'
 )
 def play_policy(context: Any, per_s: int, limit: float, routers: int, policy: str) -> None:
-    """Send them."""
+    """Send the requests."""
     context.limited = LimitedServer(policy, routers, limit)
     context.limited.play(per_s)
 
@@ -106,20 +106,20 @@
     assert context.limited.served >= least, context.limited.served
 
 
-@when('a server names limits of 10 to 10.5, another one in each of 100 answers within 4 seconds')
+@when('a server advertises limits of 10 to 10.5, changing in each of 100 responses within 4 s')
 def vary(context: Any) -> None:
-    """Have one router hear them."""
+    """Let one router process them."""
     context.varying = VaryingLimit()
-    context.varying.hear()
+    context.varying.process_responses()
 
 
-@then('the other routers are told of it once')
+@then('it is reported to the other routers once')
 def told(context: Any) -> None:
-    """Count what is told."""
-    assert context.varying.told == 1, context.varying.told
+    """Count the reported changes."""
+    assert context.varying.change_count == 1, context.varying.change_count
 
 
 @then('the router itself keeps the last one')
 def kept(context: Any) -> None:
-    """Look at what it believes."""
-    assert context.varying.believed_per_s == context.varying.last_per_s
+    """Compare the limit that it uses."""
+    assert context.varying.known_per_s == context.varying.last_per_s
--- a/features/subjects/cold_bursts.py
+++ b/features/subjects/cold_bursts.py
@@ -1,6 +1,7 @@
-"""Subject: the policies for cold servers under a load, replayed without input or output.
+"""Subject: the policies for cold servers under load, without I/O.
 
-One server has just started and is the best choice for every request; each router decides alone.
+One server has just started and is the best choice for every request; each router decides on its
+own.
 """
 
 from endivesaddle.fleet.routes.declared import Declarations, RouteServer, Service
@@ -20,7 +21,7 @@
 
 
 class ColdBurst:
-    """Routers that each know most of the others, with clocks that differ a little."""
+    """Routers that each know most of the others, with small clock differences."""
 
     def __init__(self, policy: str, routers: int) -> None:
         """Start with nothing sent."""
@@ -30,19 +31,19 @@
         )
         routing_state.update_server(SERVER, 'test')
         names = [f'router-{number}' for number in range(routers)]
-        self._drawn = RandomRouters(SEED, names)
+        self._random_routers = RandomRouters(SEED, names)
         self._routers = [
-            _router(policy, routing_state, name, heard)
-            for name, heard in zip(names, self._drawn.known, strict=True)
+            _router(policy, routing_state, name, known)
+            for name, known in zip(names, self._random_routers.known, strict=True)
         ]
         self._sent_unix_s: list[float] = []
 
     def play(self, per_s: float) -> None:
-        """Send requests at random routers while the server is cold."""
+        """Send requests to random routers while the server is cold."""
         end_unix_s = START_UNIX_S + COLD_S
-        for arrival in self._drawn.arrivals(per_s, START_UNIX_S, end_unix_s):
+        for arrival in self._random_routers.arrivals(per_s, START_UNIX_S, end_unix_s):
             cold, backend = self._routers[arrival.router]
-            if cold.try_acquire(backend, arrival.here_unix_s):
+            if cold.try_acquire(backend, arrival.router_unix_s):
                 self._sent_unix_s.append(arrival.now_unix_s)
 
     @property
@@ -52,15 +53,15 @@
 
     @property
     def busiest(self) -> int:
-        """The most requests that it got within any second."""
+        """The maximum of requests within any second."""
         return busiest(self._sent_unix_s, SECOND_S)
 
 
 def _router(
-    policy: str, routing_state: RoutingState, name: str, heard: tuple[str, ...]
+    policy: str, routing_state: RoutingState, name: str, known: tuple[str, ...]
 ) -> tuple[ColdStartLimits, Backend]:
     cold = ColdStartLimits(policy, routing_state, name)
-    cold.routers = heard
+    cold.routers = known
     cold.routers_known = True
     return cold, Backend(SERVER)
 
--- a/features/subjects/random_routers.py
+++ b/features/subjects/random_routers.py
@@ -1,4 +1,4 @@
-"""Subject: routers whose clocks differ and that know most of each other, and requests at them."""
+"""Subject: requests to routers with clock differences that know most of each other."""
 
 from collections.abc import Iterator
 from random import Random
@@ -9,24 +9,24 @@
 
 
 class Arrival(NamedTuple):
-    """A request at a router: when, and what the router's clock says."""
+    """A request to a router: its true time, and the time on the router's clock."""
 
     router: int
     now_unix_s: float
-    here_unix_s: float
+    router_unix_s: float
 
 
 class RandomRouters:
-    """Routers by name, and the names that each of them knows, its own too."""
+    """Routers by name, and the names that each of them knows, with its own."""
 
     def __init__(self, seed: int, names: list[str]) -> None:
-        """Draw who knows whom, and by how much clocks are off."""
+        """Choose at random which routers know each other, and their clock errors."""
         self._random = Random(seed)
         self.known = [self._known(name, names) for name in names]
         self._skews_s = [self._random.uniform(-SKEW_S, SKEW_S) for _ in names]
 
     def arrivals(self, per_s: float, begin_unix_s: float, end_unix_s: float) -> Iterator[Arrival]:
-        """Yield requests at random routers, at random moments."""
+        """Yield requests to random routers at random times."""
         now_unix_s = begin_unix_s
         while now_unix_s < end_unix_s:
             now_unix_s += self._random.expovariate(per_s)
@@ -34,13 +34,13 @@
             yield Arrival(router, now_unix_s, now_unix_s + self._skews_s[router])
 
     def _known(self, name: str, names: list[str]) -> tuple[str, ...]:
-        # One in twenty of the others is unknown: it started just now, or left its entry.
-        heard = [other for other in names if self._random.random() >= UNKNOWN_SHARE]
-        return tuple({name, *heard})
+        # One in twenty of the others is unknown: it has just started, or its entry is gone.
+        known = [other for other in names if self._random.random() >= UNKNOWN_SHARE]
+        return tuple({name, *known})
 
 
 def busiest(sent_unix_s: list[float], window_s: float) -> int:
-    """Return the most requests within any window."""
+    """Return the maximum of requests within any window."""
     return max(
         (sum(0 <= one - first <= window_s for one in sent_unix_s) for first in sent_unix_s),
         default=0,
