--- a/features/server_connections.feature
+++ b/features/server_connections.feature
@@ -1,15 +1,15 @@
 Feature: Connections to backend servers
-  One request at a time on each; what a server sends belongs to the request that it answers, and a
-  connection that carried anything else is not used again.
+  A connection carries one request at a time, and all data from the server belongs to the response to
+  it.  A connection with any other data is not reused.
 
-  Scenario: A connection is kept, and a target goes out as it came
+  Scenario: A connection is reused, and a request target is sent unchanged
     Given a server whose answers are: whole, chunked, whole
     When it is sent a request for each
     Then the router got: body, body, body
     And 1 connections were opened
     And its target arrived as it was sent
 
-  Scenario Outline: An answer that ends early is no whole answer
+  Scenario Outline: A response that ends early is not complete
     The caller would take half a board for a whole one.
     Given a server whose answers are: <broken>, whole
     When it is sent a request for each
@@ -24,14 +24,14 @@
       | closed      |
       | no answer   |
 
-  Scenario: An answer without a length ends with its connection
+  Scenario: A response without a length ends with its connection
     Given a server whose answers are: until closed, whole
     When it is sent a request for each
     Then the router got: body, body
     And 2 connections were opened
 
-  Scenario Outline: What comes behind an answer belongs to nobody
-    The whole answer is passed on.  Read as the next answer, what comes behind would reach the caller
+  Scenario Outline: Extra data after a response is discarded
+    The complete response is relayed.  Read as the next response, the extra data would reach the caller
     of another request.
     Given a server whose answers are: <extra>, whole
     When it is sent a request for each
@@ -45,26 +45,26 @@
       | doubled late |
       | closes after |
 
-  Scenario: An interim answer is none
+  Scenario: An interim response is skipped
     Given a server whose answers are: interim, whole
     When it is sent a request for each
     Then the router got: body, body
     And 1 connections were opened
 
   Scenario: A server that answers before it has read a large body
-    It reads on, and must find the rest of that body before the next request.
+    It must receive the rest of that body before the next request.
     Given a server whose answers are: early, early
     When it is sent a request of 3 MB for each
     Then the router got: body, body
     And each request arrived as it was sent, with its large body
 
-  Scenario: A request that is given up leaves its server at once
+  Scenario: A cancelled request closes its connection at once
     Given a server whose answers are: silence
     When it is sent a request that is given up
     Then the server saw its connection closed
 
-  Scenario: A server whose process has ended is told from one that goes on
-    Both may break a connection; what was sent there counts against a request in the first case alone.
+  Scenario: A server whose process has ended is distinguished from a running one
+    Both may break a connection; only the first case counts as a crash under the request.
     Given a server whose answers are: whole, whole
     When it is looked at, sent a request for each, ended, and looked at again
     Then it listened before and refused after
--- a/features/steps/server_connections_steps.py
+++ b/features/steps/server_connections_steps.py
@@ -9,7 +9,7 @@
 
 @given('a server whose answers are: {scripts}')
 def start(context: Any, scripts: str) -> None:
-    """Have them in this order."""
+    """Start a server with these responses in this order."""
     context.server = ServerConnections(scripts.split(', '))
 
 
@@ -27,13 +27,13 @@
 
 @when('it is sent a request that is given up')
 def give_up(context: Any) -> None:
-    """Send it, and cancel it when the server has it; returns when its connection is closed."""
-    context.server.leave()
+    """Cancel the request once the server has it; return when its connection is closed."""
+    context.server.cancel()
 
 
 @then('the router got: {outcomes}')
 def got(context: Any, outcomes: str) -> None:
-    """Compare what came of each."""
+    """Compare the outcomes."""
     assert context.server.outcomes == outcomes.split(', '), context.server.outcomes
 
 
@@ -52,23 +52,23 @@
 
 @then('its target arrived as it was sent')
 def target(context: Any) -> None:
-    """Look at the first line."""
+    """Check the request line."""
     assert context.server.heads[0].startswith(f'POST {TARGET} HTTP/1.1\r\n'), context.server.heads
 
 
 @then('the server saw its connection closed')
 def closed(context: Any) -> None:
-    """The step before ended only with that."""
+    """The previous step ends only when the connection is closed."""
     assert context.server.bodies
 
 
 @when('it is looked at, sent a request for each, ended, and looked at again')
-def look(context: Any) -> None:
-    """Look before and after."""
-    context.server.look()
+def check(context: Any) -> None:
+    """Check the server before and after."""
+    context.server.check()
 
 
 @then('it listened before and refused after')
-def looked(context: Any) -> None:
-    """Compare what was seen."""
-    assert context.server.looks == ['listens', 'refuses'], context.server.looks
+def checked(context: Any) -> None:
+    """Compare the results of the checks."""
+    assert context.server.checks == ['listens', 'refuses'], context.server.checks
--- a/features/subjects/httpx_links.py
+++ b/features/subjects/httpx_links.py
@@ -1,4 +1,4 @@
-"""Connections to a store that lead into transports of ``httpx``, without sockets."""
+"""Connections to a store over transports of ``httpx``, without sockets."""
 
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
@@ -11,7 +11,7 @@
 
 
 class HttpxResponse:
-    """An answer of a transport."""
+    """A response from a transport."""
 
     def __init__(self, response: httpx.Response) -> None:
         """Read ``response``."""
@@ -38,7 +38,7 @@
     async def exchange(
         self, lifetime: str, address: str, request: OutgoingRequest
     ) -> AsyncIterator[HttpxResponse]:
-        """Send a request and give its answer."""
+        """Send a request and yield its response."""
         sent = httpx.Request(
             request.method,
             f'http://{address}{request.target}',
--- a/features/subjects/logged_events.py
+++ b/features/subjects/logged_events.py
@@ -6,19 +6,19 @@
 
 
 class LoggedEvents:
-    """Keeps the events of this process until it is closed."""
+    """Records the log events of this process until it is closed."""
 
     def __init__(self) -> None:
-        """Keep them from here on."""
+        """Start to record events."""
         self._events: list[tuple[str, dict[str, Any]]] = []
         self._sink = logger.add(self._keep, level='DEBUG')
 
     def fields(self, name: str) -> list[dict[str, Any]]:
-        """Return the fields of each occurrence of an event, the oldest first."""
+        """Return the fields of each occurrence of an event, oldest first."""
         return [fields for kept, fields in self._events if kept == name]
 
     def close(self) -> None:
-        """Keep no more."""
+        """Stop recording."""
         logger.remove(self._sink)
 
     def _keep(self, message: Any) -> None:
--- a/features/subjects/pages_documents.py
+++ b/features/subjects/pages_documents.py
@@ -1,4 +1,4 @@
-"""Subject: documents with all fields of the users' pages, and one with a further field."""
+"""Subject: documents with all fields of the users' pages, and one with an extra field."""
 
 from types import MappingProxyType
 from typing import Any
@@ -46,7 +46,7 @@
 
 
 def config_with(field: str) -> dict[str, Any]:
-    """Return a configuration with a further field in each of its parts."""
+    """Return a configuration with an extra field in each of its parts."""
     more = {field: 1}
     engine = {**ENGINE, **more}
     return {
--- a/features/subjects/server_connections.py
+++ b/features/subjects/server_connections.py
@@ -1,4 +1,4 @@
-"""Subject: requests to a backend server on real sockets, whose bytes the scenario chooses."""
+"""Subject: requests to a backend server on real sockets with scripted responses."""
 
 import asyncio
 import socket
@@ -32,17 +32,17 @@
     def __init__(
         self, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Hold on to both directions."""
+        """Use both directions of the connection."""
         self.number = number
         self.reader = reader
         self.writer = writer
 
     def answer(self, framing: bytes, body: bytes) -> bytes:
-        """Return the bytes of an answer to this request."""
+        """Return the bytes of a response to this request."""
         return ANSWER % (self.number, framing, body)
 
     def whole(self) -> bytes:
-        """Return a whole answer."""
+        """Return a complete response."""
         return self.answer(b'content-length: 4\r\n', b'body')
 
     def reset(self) -> None:
@@ -58,23 +58,23 @@
 
 
 async def whole(peer: Peer) -> None:
-    """Answer whole."""
+    """Send a complete response."""
     peer.writer.write(peer.whole())
 
 
 async def chunked(peer: Peer) -> None:
-    """Answer in chunks."""
+    """Send a chunked response."""
     peer.writer.write(peer.answer(CHUNKED, b'2\r\nbo\r\n2\r\ndy\r\n0\r\n\r\n'))
 
 
 async def until_closed(peer: Peer) -> None:
-    """Answer without a length, and end with the connection."""
+    """Send a response without a length that ends with the connection."""
     peer.writer.write(peer.answer(b'', b'body'))
     peer.writer.close()
 
 
 async def until_reset(peer: Peer) -> None:
-    """Answer without a length, on a connection that is reset."""
+    """Send a response without a length, and reset the connection."""
     peer.writer.write(peer.answer(b'', b'body'))
     await peer.writer.drain()
     await anyio.sleep(0)
@@ -82,7 +82,7 @@
 
 
 async def short(peer: Peer) -> None:
-    """Close the connection before the body is whole."""
+    """Close the connection before the body is complete."""
     peer.writer.write(peer.answer(b'content-length: 9\r\n', b'body'))
     peer.writer.close()
 
@@ -94,27 +94,27 @@
 
 
 async def closed(peer: Peer) -> None:
-    """Close the connection without an answer."""
+    """Close the connection without a response."""
     peer.writer.close()
 
 
 async def no_answer(peer: Peer) -> None:
-    """Send bytes that are no answer."""
+    """Send bytes that are not an HTTP response."""
     peer.writer.write(b'\x00\x01 what is this\r\n\r\n')
 
 
 async def stray(peer: Peer) -> None:
-    """Send bytes behind a whole answer, in the same packet."""
+    """Send extra bytes after a complete response, in the same packet."""
     peer.writer.writelines((peer.whole(), b'\x00stray bytes'))
 
 
 async def doubled(peer: Peer) -> None:
-    """Send the answer of another request behind this one's, in the same packet."""
+    """Send a second response, to another request, in the same packet."""
     peer.writer.writelines((peer.whole(), OTHERS))
 
 
 async def doubled_late(peer: Peer) -> None:
-    """Send the answer of another request when this one's was read."""
+    """Send a second response, to another request, after the first was read."""
     peer.writer.write(peer.whole())
     await peer.writer.drain()
     await _turns()
@@ -122,13 +122,13 @@
 
 
 async def interim(peer: Peer) -> None:
-    """Send a word of its own before the answer."""
+    """Send an interim response before the response."""
     peer.writer.write(b'HTTP/1.1 100 Continue\r\n\r\n')
     peer.writer.write(peer.whole())
 
 
 async def closes_after(peer: Peer) -> None:
-    """Close the connection behind a whole answer, without having said so."""
+    """Close the connection after a complete response without announcing it."""
     peer.writer.write(peer.whole())
     peer.writer.close()
 
@@ -156,44 +156,44 @@
 
 
 class ServerConnections:
-    """One server, and the requests that a router sends to it one after the other."""
+    """One server, and the requests that a router sends to it in turn."""
 
     def __init__(self, scripts: Sequence[str]) -> None:
-        """Answer the requests as ``scripts`` say, by their names."""
+        """Answer the requests with the named ``scripts`` in order."""
         self.outcomes: list[str] = []
         self.heads: list[str] = []
         self.bodies: list[bytes] = []
         self.opened_count = 0
         self.gone_before_answer = False
-        self.looks: list[str] = []
+        self.checks: list[str] = []
         self._scripts = scripts
-        self._left = anyio.Event()
+        self._closed = anyio.Event()
 
     def request(self, body: bytes = SMALL) -> None:
         """Send one request for each script."""
         anyio.run(self._play, self._each, body)
 
-    def look(self) -> None:
-        """Look whether the server listens, send the requests, and look again when it ended."""
-        anyio.run(self._look)
+    def check(self) -> None:
+        """Check the server, send the requests, and check again after it has ended."""
+        anyio.run(self._check)
 
-    def leave(self) -> None:
-        """Send a request that nobody answers, and give it up."""
-        anyio.run(self._play, self._given_up, SMALL)
+    def cancel(self) -> None:
+        """Send a request that is not answered, and cancel it."""
+        anyio.run(self._play, self._cancel, SMALL)
 
-    async def _look(self) -> None:
-        links = ForwardClient(ConnectionPool(), HeaderNames(), MonotonicClock())
+    async def _check(self) -> None:
+        client = ForwardClient(ConnectionPool(), HeaderNames(), MonotonicClock())
         server = await asyncio.start_server(self._serve, '127.0.0.1', 0)
         host, port = server.sockets[0].getsockname()
         address = f'{host}:{port}'
         call = _call(0, address, SMALL)
-        self.looks.append(await _seen(links, call.server))
+        self.checks.append(await _check_server(client, call.server))
         for number, _ in enumerate(self._scripts):
-            self.outcomes.append(await self._sent(links, _call(number, address, SMALL)))
-        self.opened_count = links.pool.opened_count
+            self.outcomes.append(await self._sent(client, _call(number, address, SMALL)))
+        self.opened_count = client.pool.opened_count
         server.close()
         await server.wait_closed()
-        self.looks.append(await _seen(links, call.server))
+        self.checks.append(await _check_server(client, call.server))
 
     async def _play(self, play: Callable[[str, bytes], Awaitable[None]], body: bytes) -> None:
         with anyio.fail_after(GUARD_S):
@@ -203,26 +203,26 @@
             server.close()
 
     async def _each(self, address: str, body: bytes) -> None:
-        links = ForwardClient(ConnectionPool(), HeaderNames(), MonotonicClock())
+        client = ForwardClient(ConnectionPool(), HeaderNames(), MonotonicClock())
         for number, _ in enumerate(self._scripts):
-            self.outcomes.append(await self._sent(links, _call(number, address, body)))
+            self.outcomes.append(await self._sent(client, _call(number, address, body)))
             while len(self.bodies) < len(self.heads):
                 await anyio.sleep(0)
             await _turns()
-        self.opened_count = links.pool.opened_count
+        self.opened_count = client.pool.opened_count
 
-    async def _given_up(self, address: str, body: bytes) -> None:
-        links = ForwardClient(ConnectionPool(), HeaderNames(), MonotonicClock())
+    async def _cancel(self, address: str, body: bytes) -> None:
+        client = ForwardClient(ConnectionPool(), HeaderNames(), MonotonicClock())
         async with anyio.create_task_group() as group:
-            group.start_soon(self._sent, links, _call(0, address, body))
+            group.start_soon(self._sent, client, _call(0, address, body))
             while not self.bodies:
                 await anyio.sleep(0)
             group.cancel_scope.cancel()
-        await self._left.wait()
+        await self._closed.wait()
 
-    async def _sent(self, links: ForwardClient, call: ServerCall) -> str:
+    async def _sent(self, client: ForwardClient, call: ServerCall) -> str:
         try:
-            async with links.exchange(call) as answer:
+            async with client.exchange(call) as answer:
                 if not answer.own:
                     return "another's"
                 return (await answer.whole()).decode()
@@ -245,21 +245,21 @@
                 if script is not None:
                     await script(Peer(number, reader, writer))
         except (asyncio.IncompleteReadError, ConnectionError):
-            self._left.set()
+            self._closed.set()
             writer.close()
 
 
-async def _seen(links: ForwardClient, server: RouteServer) -> str:
-    """Look at a server as a router does after a run that broke."""
+async def _check_server(client: ForwardClient, server: RouteServer) -> str:
+    """Check a server as a router does after a broken run."""
     try:
-        await links.check(server)
+        await client.check(server)
     except ServerRefused:
         return 'refuses'
     return 'listens'
 
 
 async def _turns() -> None:
-    """Let what lies in the sockets of this process be read."""
+    """Let the event loop read all pending socket data."""
     for _ in range(TURNS):
         await anyio.sleep(0)
 
--- a/features/subjects/slow_connections.py
+++ b/features/subjects/slow_connections.py
@@ -1,4 +1,4 @@
-"""Subject: a router whose connections to servers take their time."""
+"""Subject: a router that connects to servers slowly."""
 
 import asyncio
 
@@ -19,16 +19,16 @@
 
 
 class AnsweringTransport(asyncio.Transport):
-    """A connection to a server that answers whatever it is sent."""
+    """A connection to a server that answers any request."""
 
     def __init__(self, sent: list[bytes], connection: ServerConnection) -> None:
-        """Keep what arrives in ``sent``."""
+        """Append received data to ``sent``."""
         super().__init__()
         self._sent = sent
         self._connection = connection
 
     def write(self, data: bytes | bytearray | memoryview) -> None:
-        """Take what is sent, and answer."""
+        """Record the data and send a response."""
         self._sent.append(bytes(data))
         asyncio.get_running_loop().call_soon(self._connection.data_received, ANSWER)
 
@@ -41,15 +41,15 @@
 
 
 class SlowNetwork:
-    """Makes connections in ``connect_s``; keeps which, and what was sent on them."""
+    """Opens connections in ``connect_s``, and records them and the data sent on them."""
 
     def __init__(self, connect_s: float) -> None:
-        """Start without any."""
+        """Initialize with no connections."""
         self.sent: dict[str, list[bytes]] = {}
         self._connect_s = connect_s
 
     async def connect(self, address: str) -> ServerConnection:
-        """Connect, after a while."""
+        """Connect after the delay."""
         sent = self.sent.setdefault(address.rpartition(':')[0], [])
         await anyio.sleep(self._connect_s)
         connection = ServerConnection()
@@ -61,7 +61,7 @@
     """A router with three servers, and one request."""
 
     def __init__(self, connect_s: float) -> None:
-        """Connect in ``connect_s``."""
+        """Initialize with a network that connects in ``connect_s``."""
         self.network = SlowNetwork(connect_s)
         self.runs = ForwardRuns('unsafe', 1, [])
         clock = LoopClock()
@@ -75,7 +75,7 @@
         self.runs.close()
 
     def request(self, leaves_after_s: float) -> None:
-        """Carry a request whose server leaves after a while."""
+        """Run a request whose server announces that it leaves after a while."""
         self.runs.play(self._leave(leaves_after_s))
 
     async def _leave(self, seconds: float) -> None:
