--- a/packages/platform/src/endivesaddle/platform/etcd_http.py
+++ b/packages/platform/src/endivesaddle/platform/etcd_http.py
@@ -1,7 +1,7 @@
 """Calls to the etcd v3 JSON gateway over HTTP, at one of several URLs.
 
-What is told of a failed call decides whether the fleet may try again, so each
-failure is sorted by one question: can the store have got it?
+Whether the fleet may retry a failed call depends on the reported error, so each
+failure is classified by whether the store may have received the call.
 """
 
 import ssl
@@ -19,47 +19,50 @@
 from endivesaddle.platform.settings import PlatformSettings
 
 NEVER_SENT = (httpx.ConnectError, httpx.ConnectTimeout, httpx.PoolTimeout)
-"""Failures before the first byte of a call left."""
-LEAST_TRIES = 2
-WATCHES = 8
-"""Connections kept for watches: each holds one for good, and calls never take them."""
+"""Failures before the first byte of a call was sent."""
+MIN_TRIES = 2
+WATCH_CONNECTIONS = 8
+"""Connections reserved for watches, each of which holds one permanently."""
 NOT_APPLIED = frozenset((3, 5, 7, 8, 11, 12, 16))
-"""gRPC codes of replies that say that the store refused the call as it was."""
+"""gRPC codes by which the store refuses the call itself; nothing took effect."""
 
 FAILED_OVER = events.event(
-    5001, 'WARNING', 'store_failed_over', 'a URL of the store failed, the next one is used'
+    5001, 'WARNING', 'store_failed_over', 'a URL of the store failed; using the next one'
 )
-ANSWER_LOST = events.event(
-    5002, 'WARNING', 'store_answer_lost', 'a write was sent and its answer lost'
+RESPONSE_LOST = events.event(
+    5002, 'WARNING', 'store_answer_lost', 'a write was sent and its response was lost'
 )
 
 
 def new_client(settings: PlatformSettings) -> httpx.AsyncClient:
-    """Return a client that trusts the store's authority; raises ``UserError``."""
-    connections = settings.store_connections + WATCHES
+    """Return a client that trusts the store's certificate authority.
+
+    Raises ``UserError`` if the file of the authority can't be used.
+    """
+    connections = settings.store_connections + WATCH_CONNECTIONS
     limits = httpx.Limits(max_connections=connections, max_keepalive_connections=connections)
     if not settings.store_ca:
         return httpx.AsyncClient(trust_env=False, limits=limits)
     try:
         context = ssl.create_default_context(cafile=settings.store_ca)
     except (OSError, ssl.SSLError) as error:
-        raise UserError(f'--store-ca {settings.store_ca} can not be used: {error}') from error
+        raise UserError(f'--store-ca {settings.store_ca} cannot be used: {error}') from error
     return httpx.AsyncClient(trust_env=False, limits=limits, verify=context)
 
 
 class Refused(Exception):
-    """The store answered that it doesn't do this; nothing took effect."""
+    """The store refused the call; nothing took effect."""
 
 
 class Unavailable(Exception):
-    """The store answered that it failed; the call may have taken effect."""
+    """The store reported a failure; the call may have taken effect."""
 
 
-BROKEN = (httpx.HTTPError, TimeoutError, Unavailable)
-"""Failures after which the store may or may not have got the call."""
+MAYBE_SENT = (httpx.HTTPError, TimeoutError, Unavailable)
+"""Failures after which the store may or may not have received the call."""
 
 
-WATCH_BROKEN = (*BROKEN, Refused, msgspec.DecodeError)
+WATCH_FAILURES = (*MAYBE_SENT, Refused, msgspec.DecodeError)
 
 
 class Gateway:
@@ -72,32 +75,34 @@
         clock: Clock,
         client: httpx.AsyncClient,
     ) -> None:
-        """Prefer the first URL until it fails."""
+        """Initialize with the first URL preferred until it fails."""
         self._urls = list(urls)
         self._settings = settings
         self._clock = clock
         self._client = client
-        self._free = anyio.Semaphore(settings.store_connections)
+        self._free_connections = anyio.Semaphore(settings.store_connections)
 
-    async def ask(self, path: str, body: dict[str, Any], deadline_unix_s: float) -> dict[str, Any]:
-        """Make an idempotent call, at each URL in turn, or twice at the only one.
+    async def call_idempotent(
+        self, path: str, body: dict[str, Any], deadline_unix_s: float
+    ) -> dict[str, Any]:
+        """Make an idempotent call at each URL in turn, or twice if there is only one.
 
-        An open connection may be silent while a new one to the same URL works.
+        The second try helps if an open connection is unresponsive and a new one works.
 
-        Raises ``StoreUnreachable`` when none answers before the deadline.
+        Raises ``StoreUnreachable`` if no URL responds before the deadline.
         """
         async with self._connection(path, deadline_unix_s):
-            return await self._ask(path, body, deadline_unix_s)
+            return await self._call_idempotent(path, body, deadline_unix_s)
 
     async def write(
         self, path: str, body: dict[str, Any], deadline_unix_s: float
     ) -> dict[str, Any]:
-        """Make a call that changes something, once.
+        """Make a call that is not idempotent, and send it at most once.
 
-        A URL that was not reached is followed by the next.  A call that may have
-        been sent is not repeated: the first one may yet take effect, and the
-        second would then lose to it and be reported as another's change.  It is
-        ``StoreWriteUnconfirmed``, and the caller reads back under its id.
+        If a URL can't be reached, the next one is tried.  A call that may have been
+        sent is not repeated: the first may still take effect, and the second would
+        then conflict with it and be reported as another writer's change.  It raises
+        ``StoreWriteUnconfirmed``, and the caller reads back by its own id.
         """
         async with self._connection(path, deadline_unix_s):
             return await self._write(path, body, deadline_unix_s)
@@ -107,7 +112,7 @@
     ) -> AsyncGenerator[Any, None]:
         """Yield the messages of a streamed reply; ends when the store ends it.
 
-        Raises ``StoreUnreachable`` when it breaks or is silent for ``silence_s``.
+        Raises ``StoreUnreachable`` if it breaks or nothing arrives for ``silence_s``.
         """
         url = self._urls[0]
         try:
@@ -115,21 +120,23 @@
                 raise_for_status(reply.status_code, b'')
                 async for text in _until_silent(reply.aiter_lines(), silence_s):
                     yield msgspec.json.decode(text)
-        except WATCH_BROKEN as error:
+        except WATCH_FAILURES as error:
             self._fail_over(url, describe(error))
             raise StoreUnreachable(f'a watch broke: {describe(error)}') from error
 
-    async def _ask(self, path: str, body: dict[str, Any], deadline_unix_s: float) -> dict[str, Any]:
+    async def _call_idempotent(
+        self, path: str, body: dict[str, Any], deadline_unix_s: float
+    ) -> dict[str, Any]:
         reason = 'no URL was tried before the deadline'
-        for left_tries in range(max(len(self._urls), LEAST_TRIES), 0, -1):
-            # The last try has all the time that is left; the others leave some for it.
+        for remaining_tries in range(max(len(self._urls), MIN_TRIES), 0, -1):
+            # The last try may use all the time left; the others leave some for it.
             limit_s = left_s(self._clock, deadline_unix_s)
-            if left_tries > 1:
+            if remaining_tries > 1:
                 limit_s = min(self._settings.store_read_s, limit_s / 2)
             url = self._urls[0]
             try:
                 return await self._post(url + path, body, limit_s)
-            except BROKEN as error:
+            except MAYBE_SENT as error:
                 reason = describe(error)
                 self._fail_over(url, reason)
             except Refused as error:
@@ -150,30 +157,30 @@
             except NEVER_SENT as error:
                 reason = describe(error)
                 self._fail_over(url, reason)
-            except BROKEN as error:
+            except MAYBE_SENT as error:
                 self._fail_over(url, describe(error))
-                raise _unsure(path, error) from error
+                raise _unconfirmed(path, error) from error
             except Refused as error:
                 raise StoreUnreachable(f'the store refused {path}: {error}') from error
         raise StoreUnreachable(f'the store was not reached for {path}: {reason}')
 
     @asynccontextmanager
     async def _connection(self, path: str, deadline_unix_s: float) -> AsyncIterator[None]:
-        # Waited for here and not in the client's pool: a time-out there looks like one
-        # on the way, so a write that never left was "unsure", and a URL was blamed for it.
-        free = False
+        # Wait here and not in the client's pool: a time-out there looks like one of the network,
+        # so a write that was never sent would be unconfirmed and its URL counted as failed.
+        acquired = False
         with anyio.move_on_after(left_s(self._clock, deadline_unix_s)):
-            await self._free.acquire()
-            free = True
-        if not free:
-            raise StoreUnreachable(f'no connection came free for {path} before its deadline')
+            await self._free_connections.acquire()
+            acquired = True
+        if not acquired:
+            raise StoreUnreachable(f'no connection became available for {path} before its deadline')
         try:
             yield
         finally:
-            self._free.release()
+            self._free_connections.release()
 
     def _fail_over(self, url: str, reason: str) -> None:
-        # Calls side by side fail at one URL together: only the first moves it back.
+        # Concurrent calls fail at one URL together: only the first moves it to the end.
         if self._urls[0] != url:
             return
         self._urls.append(self._urls.pop(0))
@@ -187,7 +194,7 @@
         try:
             return msgspec.json.decode(reply.content, type=dict[str, Any])
         except msgspec.DecodeError as error:
-            raise Unavailable('the reply is no JSON object') from error
+            raise Unavailable('the reply is not a JSON object') from error
 
     def _stream(self, url: str, body: dict[str, Any]) -> Any:
         connect_s = self._settings.store_connect_s
@@ -196,10 +203,10 @@
 
 
 def raise_for_status(status: int, content: bytes) -> None:
-    """Sort a reply that is no success into ``Refused`` and ``Unavailable``.
+    """Raise ``Refused`` or ``Unavailable`` for an unsuccessful reply.
 
-    A time-out inside the store ("etcdserver: request timed out") may come after
-    the write took effect, so only codes that speak of the call itself are refusals.
+    A time-out inside the store ("etcdserver: request timed out") may occur after
+    the write took effect, so only codes about the call itself count as refusals.
     """
     if status == httpx.codes.OK:
         return
@@ -214,9 +221,9 @@
 
 
 async def _until_silent(texts: AsyncIterator[str], silence_s: float) -> AsyncIterator[str]:
-    # An open connection can go silent for good: no error ever comes and the watcher
-    # would keep an old configuration for ever.  The store's signs of life come more
-    # often than this deadline, so a silence beyond it is a broken watch.
+    # A half-open connection delivers nothing and reports no error, so the watcher would
+    # keep an old configuration for ever.  The store sends progress messages more often
+    # than this deadline, so a watch that is silent for longer is broken.
     while True:
         with anyio.fail_after(silence_s):
             text = await anext(texts, None)
@@ -226,12 +233,12 @@
             yield text
 
 
-def _unsure(path: str, error: Exception) -> StoreWriteUnconfirmed:
+def _unconfirmed(path: str, error: Exception) -> StoreWriteUnconfirmed:
     reason = describe(error)
-    ANSWER_LOST.log(path=path, reason=reason)
-    return StoreWriteUnconfirmed(f'the answer to {path} was lost: {reason}')
+    RESPONSE_LOST.log(path=path, reason=reason)
+    return StoreWriteUnconfirmed(f'the response to {path} was lost: {reason}')
 
 
 def describe(error: Exception) -> str:
-    """Return an error in a few words; time-outs have no text of their own."""
+    """Return the text of an error, or its class name if it has none, as time-outs do."""
     return str(error) or type(error).__name__
--- a/packages/platform/src/endivesaddle/platform/instance_list.py
+++ b/packages/platform/src/endivesaddle/platform/instance_list.py
@@ -1,10 +1,10 @@
-"""The platform's list of live and leaving instances: a second source, and a late one.
+"""The platform's list of live and leaving instances, a second and delayed source.
 
 A plain HTTP endpoint that answers ``[{"instance": "porto-a-r1", "state": "live"}]``;
-states are ``live`` and ``leaving``, an instance that is gone is not in it.  The list
-lags, so it only adds to what heartbeats tell and confirms it.  It is asked for with the
-``ETag`` of the last answer: at a thousand instances a full answer has some 60 KB, which
-every few seconds would be more than all of control may send.
+states are ``live`` and ``leaving``, and an instance that is gone is not listed.  The list
+lags, so it only supplements and confirms what heartbeats report.  Requests carry the
+``ETag`` of the last response: at a thousand instances a full response has some 60 KB, which
+every few seconds would exceed the limit of all control traffic.
 """
 
 from collections.abc import AsyncGenerator
@@ -21,15 +21,15 @@
 
 STATES = frozenset(('live', 'leaving'))
 
-LIST_LOST = events.event(
-    5003, 'WARNING', 'instance_list_lost', "the platform's list of instances was not readable"
+LIST_UNREADABLE = events.event(
+    5003, 'WARNING', 'instance_list_lost', "the platform's list of instances could not be read"
 )
-LIST_ODD = events.event(
-    5004, 'WARNING', 'instance_list_odd', "the platform's list has entries of an unknown state"
+UNKNOWN_STATE = events.event(
+    5004, 'WARNING', 'instance_list_odd', "the platform's list has entries with an unknown state"
 )
 
 
-class Listed(NamedTuple):
+class ListedInstance(NamedTuple):
     """One instance of the platform's list; ``state`` is live or leaving."""
 
     instance: str
@@ -37,11 +37,11 @@
 
 
 class ListUnreadable(FleetError):
-    """The list was not reached or is no list; what was known before still stands."""
+    """The list could not be fetched or decoded; the previous list remains valid."""
 
 
 class InstanceList:
-    """The list, polled."""
+    """Client that polls the list of instances."""
 
     def __init__(
         self,
@@ -49,20 +49,20 @@
         clock: Clock,
         client: httpx.AsyncClient | None = None,
     ) -> None:
-        """Make no connection yet; ``client`` is closed by ``aclose`` too."""
+        """Initialize without a connection; ``aclose`` also closes ``client``."""
         self._settings = settings
         self._clock = clock
         self._client = client or httpx.AsyncClient(trust_env=False)
-        self._tag = ''
-        self._known: tuple[Listed, ...] = ()
+        self._etag = ''
+        self._last_list: tuple[ListedInstance, ...] = ()
 
     async def aclose(self) -> None:
         """Close all connections."""
         await self._client.aclose()
 
-    async def fetch(self, deadline_unix_s: float) -> tuple[Listed, ...]:
+    async def fetch(self, deadline_unix_s: float) -> tuple[ListedInstance, ...]:
         """Return the list; raises ``ListUnreadable``."""
-        headers = {'if-none-match': self._tag} if self._tag else {}
+        headers = {'if-none-match': self._etag} if self._etag else {}
         try:
             with anyio.fail_after(left_s(self._clock, deadline_unix_s)):
                 reply = await self._client.get(
@@ -71,21 +71,21 @@
         except (httpx.HTTPError, TimeoutError) as error:
             raise ListUnreadable(str(error) or type(error).__name__) from error
         if reply.status_code == httpx.codes.NOT_MODIFIED:
-            return self._known
+            return self._last_list
         if reply.status_code != httpx.codes.OK:
             raise ListUnreadable(f'HTTP {reply.status_code}')
-        self._known = _listed(reply.content)
-        self._tag = reply.headers.get('etag', '')
-        return self._known
+        self._last_list = _decode_list(reply.content)
+        self._etag = reply.headers.get('etag', '')
+        return self._last_list
 
-    async def follow(self) -> AsyncGenerator[tuple[Listed, ...], None]:
-        """Yield the list whenever it has changed; a failed look is logged and repeated."""
-        last: tuple[Listed, ...] | None = None
+    async def follow(self) -> AsyncGenerator[tuple[ListedInstance, ...], None]:
+        """Yield the list whenever it has changed; a failed poll is logged and retried."""
+        last: tuple[ListedInstance, ...] | None = None
         while True:
             try:
                 found = await self.fetch(self._clock.now_s() + self._settings.instance_list_poll_s)
             except ListUnreadable as error:
-                LIST_LOST.log(reason=str(error))
+                LIST_UNREADABLE.log(reason=str(error))
             else:
                 if found != last:
                     last = found
@@ -93,13 +93,15 @@
             await anyio.sleep(self._settings.instance_list_poll_s)
 
 
-def _listed(content: bytes) -> tuple[Listed, ...]:
+def _decode_list(content: bytes) -> tuple[ListedInstance, ...]:
     try:
         found = msgspec.json.decode(content, type=list[dict[str, str]])
-        entries = [Listed(entry['instance'], entry['state']) for entry in found]
+        entries = [ListedInstance(entry['instance'], entry['state']) for entry in found]
     except (msgspec.MsgspecError, KeyError) as error:
         raise ListUnreadable(f'not a list of instances: {error}') from error
-    odd = [entry for entry in entries if entry.state not in STATES]
-    if odd:
-        LIST_ODD.log(instance=odd[0].instance, state=odd[0].state, entries=len(odd))
-    return tuple(sorted(set(entries).difference(odd)))
+    unknown = [entry for entry in entries if entry.state not in STATES]
+    if unknown:
+        UNKNOWN_STATE.log(
+            instance=unknown[0].instance, state=unknown[0].state, entries=len(unknown)
+        )
+    return tuple(sorted(set(entries).difference(unknown)))
--- a/packages/platform/src/endivesaddle/platform/opening.py
+++ b/packages/platform/src/endivesaddle/platform/opening.py
@@ -10,14 +10,14 @@
 from endivesaddle.platform.stores import ClosableStore, stores
 
 ADAPTERS = (etcd,)
-"""Modules whose import fills the registry ``stores``."""
+"""Modules that register themselves in ``stores`` on import."""
 
 
 @asynccontextmanager
 async def open_store(settings: PlatformSettings, clock: Clock) -> AsyncIterator[ClosableStore]:
     """Open the store that the settings name, such as ``etcd+http://...``.
 
-    Raises ``UserError`` where the URLs name no store or more than one kind.
+    Raises ``UserError`` if the URLs name no store or more than one kind.
     """
     kinds = {url.partition('+')[0] for url in settings.store_urls if '+' in url}
     if len(kinds) != 1 or not all('+' in url for url in settings.store_urls):
--- a/packages/platform/src/endivesaddle/platform/rate.py
+++ b/packages/platform/src/endivesaddle/platform/rate.py
@@ -1,9 +1,9 @@
-"""Keep one instance within its share of the store's rates, and count its calls.
+"""Limit the calls of one instance to its share of the store's rates, and count them.
 
-The store serves a fixed rate for the whole fleet, which the routers divide among
-themselves by their number.  One instance in a fast retry loop would take it from
-all others, so each has a token bucket for reads and one for writes; a call that
-can't be made before its deadline is refused at once.
+The store serves a fixed rate for the whole fleet, which is divided by the number of
+routers.  One instance in a fast retry loop would use up the rate of all others, so
+each has a token bucket for reads and one for writes; a call that can't be made
+before its deadline is refused at once.
 """
 
 from collections import Counter
@@ -14,21 +14,21 @@
 from endivesaddle.fleet.clock import Clock
 from endivesaddle.fleet.errors import StoreUnreachable
 from endivesaddle.platform.settings import PlatformSettings
-from endivesaddle.platform.shares import Divisor
+from endivesaddle.platform.shares import RouterCount
 
 READS = frozenset(('read', 'list', 'watch'))
-"""Kinds of calls that draw on the rate of reads; all others are writes."""
+"""Kinds of calls that count as reads; all others are writes."""
 START_CALLS_S = 30.0
-"""How long after the start its burst may be used."""
+"""How long after the start the extra start calls may be used."""
 SIDECAR_START_CALLS = 10
 """A sidecar reads the sealed epochs and its orders when it starts, and writes a lease."""
 
 
 class TokenBucket:
-    """Tokens that come back at a steady rate, up to a burst."""
+    """A token bucket that refills at a steady rate up to a burst size."""
 
     def __init__(self, per_s: float, burst_tokens: float, clock: Clock) -> None:
-        """Start full."""
+        """Initialize with a full bucket."""
         self._per_s = per_s
         self._burst_tokens = burst_tokens
         self._clock = clock
@@ -36,13 +36,13 @@
         self._filled_unix_s = clock.now_s()
         self._extra_until_unix_s = 0.0
 
-    def allow(self, extra_tokens: float, until_unix_s: float) -> None:
-        """Give tokens beyond the burst, once, that lapse unless they are taken in time."""
+    def add_extra(self, extra_tokens: float, until_unix_s: float) -> None:
+        """Add tokens beyond the burst size once; those not taken by ``until_unix_s`` expire."""
         self._tokens += extra_tokens
         self._extra_until_unix_s = until_unix_s
 
-    def pace(self, per_s: float, burst_tokens: float) -> None:
-        """Have tokens come back at another rate from now on."""
+    def set_rate(self, per_s: float, burst_tokens: float) -> None:
+        """Change the refill rate and the burst size from now on."""
         self._fill()
         self._per_s = per_s
         self._burst_tokens = burst_tokens
@@ -50,7 +50,7 @@
     def take(self, latest_unix_s: float) -> float:
         """Take a token and return how long to wait for it; negative if too long.
 
-        Tokens taken ahead of time make the bucket negative, which is the queue.
+        Tokens taken in advance make the count negative; this represents the queue.
         """
         now_unix_s = self._fill()
         wait_s = max(0, (1 - self._tokens) / self._per_s)
@@ -61,9 +61,9 @@
 
     def _fill(self) -> float:
         now_unix_s = self._clock.now_s()
-        # A clock set back must not drain the bucket: no time has passed then.
+        # A clock that was set back must not drain the bucket: count it as no time passed.
         passed_s = max(0, now_unix_s - self._filled_unix_s)
-        # Tokens given at the start would else be kept for a later rush of all instances.
+        # Otherwise extra tokens could be used later by all instances at once.
         if now_unix_s >= self._extra_until_unix_s:
             self._tokens = min(self._tokens, self._burst_tokens)
         room_tokens = max(0, self._burst_tokens - self._tokens)
@@ -73,35 +73,35 @@
 
 
 class StoreRate:
-    """The share of the store's rates that one instance may use."""
+    """Rate limiter for one instance's share of the store's rates."""
 
     def __init__(self, settings: PlatformSettings, clock: Clock) -> None:
-        """Start with a burst, and a share as in a full fleet until it is divided.
+        """Initialize with extra start calls and the share of a router in a full fleet.
 
-        ``calls`` and ``refused`` count by kind; ``routers`` is the number divided by.
+        ``calls`` and ``refused`` count calls by kind; ``routers`` divides the fleet's rates.
         """
         self._settings = settings
         self._clock = clock
-        self._divisor = Divisor(clock)
-        self.routers = self._divisor.see(1)
+        self._router_count = RouterCount(clock)
+        self.routers = self._router_count.update(1)
         self.calls: Counter[str] = Counter()
         self.refused: Counter[str] = Counter()
         self.limit(*self._share(), settings.store_start_calls)
 
     def divide(self, count: int) -> None:
-        """Take one router's share, where ``count`` live routers are in sight."""
-        self.routers = self._divisor.see(count)
+        """Set the rates to one router's share when it sees ``count`` live routers."""
+        self.routers = self._router_count.update(count)
         reads_per_s, writes_per_s = self._share()
-        self._reads.pace(reads_per_s, self._burst_tokens(reads_per_s))
-        self._writes.pace(writes_per_s, self._burst_tokens(writes_per_s))
+        self._reads.set_rate(reads_per_s, self._burst_tokens(reads_per_s))
+        self._writes.set_rate(writes_per_s, self._burst_tokens(writes_per_s))
 
     def limit(self, reads_per_s: float, writes_per_s: float, start_calls: int) -> None:
-        """Begin anew with these rates, whatever the size of the fleet, and a burst."""
+        """Restart with these rates, independent of the fleet's size, and extra start calls."""
         self._reads = self._bucket(reads_per_s, start_calls)
         self._writes = self._bucket(writes_per_s, start_calls)
 
     def limit_sidecar(self) -> None:
-        """Begin anew with the small share of an instance that is no router."""
+        """Restart with the lower rates of a sidecar."""
         settings = self._settings
         self.limit(
             settings.store_sidecar_reads_per_s,
@@ -124,9 +124,9 @@
         }  # fmt: skip
 
     async def take(self, kind: str, deadline_unix_s: float) -> None:
-        """Wait for the turn of one call.
+        """Wait until one call of this kind may be made.
 
-        Raises ``StoreUnreachable`` at once where that is after the deadline.
+        Raises ``StoreUnreachable`` at once if that is after the deadline.
         """
         bucket = self._reads if kind in READS else self._writes
         wait_s = bucket.take(deadline_unix_s)
@@ -146,7 +146,7 @@
 
     def _bucket(self, per_s: float, start_calls: int) -> TokenBucket:
         bucket = TokenBucket(per_s, self._burst_tokens(per_s), self._clock)
-        bucket.allow(start_calls, self._clock.now_s() + START_CALLS_S)
+        bucket.add_extra(start_calls, self._clock.now_s() + START_CALLS_S)
         return bucket
 
     def _burst_tokens(self, per_s: float) -> float:
--- a/packages/platform/src/endivesaddle/platform/settings.py
+++ b/packages/platform/src/endivesaddle/platform/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the platform's services: where they are and how much of them one instance uses."""
+"""Settings of the platform's services: their addresses, and how much one instance uses them."""
 
 import dataclasses
 
@@ -7,10 +7,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class PlatformSettings:
-    """Addresses, time-outs and rates towards the platform.
+    """Addresses, time-outs and rates of calls to the platform.
 
-    The rates are the whole fleet's, below what the platform gives to it: several
-    hundred writes and two thousand reads a second.  Each router takes its share.
+    The rates are those of the whole fleet, and below the platform's limits of several
+    hundred writes and two thousand reads a second.  Each router uses its share.
     """
 
     store_urls: tuple[str, ...] = settings.option(
--- a/packages/platform/src/endivesaddle/platform/shares.py
+++ b/packages/platform/src/endivesaddle/platform/shares.py
@@ -1,42 +1,42 @@
-"""Tell by how many routers the store's rates are to be divided.
+"""Estimate the number of routers among which the store's rates are divided.
 
-The number that a router sees is not to be trusted alone.  Right after its start it
-sees none but itself, and in a partition few: if all of them then took a large share
-each, the store would be overrun just when it is needed.  So the largest number of the
-last minutes counts, and a full fleet is assumed until the view has had time to fill.
+The number of routers that a router sees now is not reliable.  Right after its start it
+sees only itself, and in a partition only a few: if all routers then took a large share,
+they would overload the store just when it is needed.  So the largest number of the last
+minutes counts, and a full fleet is assumed until the membership view has filled.
 """
 
 from collections import deque
 
 from endivesaddle.fleet.clock import Clock
 
-REMEMBERED_S = 300.0
-"""How long a large number of routers counts after it was seen last."""
-FULL_FLEET = 410
-"""Routers assumed at the start."""
-START_S = 5.0
-"""How long a full fleet is assumed: the first beats fill the view within a second or two."""
-LEAST_ROUTERS = 4
-"""No router takes more than a quarter: the others may just be out of its sight."""
+WINDOW_S = 300.0
+"""How long a number of routers counts after it was last seen."""
+FULL_FLEET_ROUTERS = 410
+"""Number of routers assumed at the start."""
+FULL_FLEET_S = 5.0
+"""How long a full fleet is assumed; the first heartbeats fill the view within 1 to 2 seconds."""
+MIN_ROUTERS = 4
+"""No router takes more than a quarter of a rate: the others may be invisible to it for now."""
 
 
-class Divisor:
-    """The largest number of routers seen in the last minutes."""
+class RouterCount:
+    """The largest number of routers seen within ``WINDOW_S``."""
 
     def __init__(self, clock: Clock) -> None:
-        """Assume a full fleet for a moment."""
+        """Initialize with a full fleet, assumed for ``FULL_FLEET_S``."""
         self._clock = clock
-        # As if it had been seen long ago, so that it is forgotten when the start is over.
-        assumed_unix_s = clock.now_s() + START_S - REMEMBERED_S
-        self._seen: deque[tuple[float, int]] = deque([(assumed_unix_s, FULL_FLEET)])
+        # Dated back, so that the assumed number expires after ``FULL_FLEET_S``.
+        assumed_unix_s = clock.now_s() + FULL_FLEET_S - WINDOW_S
+        self._seen: deque[tuple[float, int]] = deque([(assumed_unix_s, FULL_FLEET_ROUTERS)])
 
-    def see(self, count: int) -> int:
-        """Take in the number seen now; return the one to divide by."""
+    def update(self, count: int) -> int:
+        """Record the number of routers seen now; return the number to divide by."""
         now_unix_s = self._clock.now_s()
-        # Numbers that a later and larger one covers are never the largest again.
+        # A number that is not above a later one can't become the largest again.
         while self._seen and self._seen[-1][1] <= count:
             self._seen.pop()
         self._seen.append((now_unix_s, count))
-        while self._seen[0][0] < now_unix_s - REMEMBERED_S:
+        while self._seen[0][0] < now_unix_s - WINDOW_S:
             self._seen.popleft()
-        return max(LEAST_ROUTERS, self._seen[0][1])
+        return max(MIN_ROUTERS, self._seen[0][1])
--- a/packages/platform/src/endivesaddle/platform/stores.py
+++ b/packages/platform/src/endivesaddle/platform/stores.py
@@ -1,4 +1,4 @@
-"""Adapters of the configuration store, by the scheme of its URLs."""
+"""Registry of the adapters of the configuration store by URL scheme."""
 
 from collections.abc import Callable
 from typing import Protocol
@@ -11,11 +11,11 @@
 
 
 class ClosableStore(Store, Protocol):
-    """A store with connections to close and a share of its rates."""
+    """A store with connections to close and a limited call rate."""
 
     @property
     def rate(self) -> StoreRate:
-        """What bounds the calls of this instance."""
+        """The rate limit for this instance's calls."""
 
     async def aclose(self) -> None:
         """Close all connections."""
--- a/packages/platform/src/endivesaddle/platform/weight_store.py
+++ b/packages/platform/src/endivesaddle/platform/weight_store.py
@@ -1,10 +1,10 @@
-"""Permission to load weights: a few slots for the whole fleet, kept in the store.
+"""Permits to load weights: a few slots for the whole fleet, held in the store.
 
-The weight store serves a limited rate; loads beyond it slow all of them down.
+The weight store has a limited rate; more loads than that slow all of them down.
 A loader holds one of ``weight_slots`` keys under a lease, written by
-compare-and-swap.  A loader that dies gives its slot back when the lease lapses.
-One that was paused beyond its lease finds out by its next keep-alive, or by its
-own clock, and its load is cancelled: another may hold the slot by then.
+compare-and-swap.  The slot of a loader that dies is free when the lease expires.
+A loader that was paused beyond its lease notices it by its next keep-alive or by
+its own clock, and its load is cancelled: another may hold the slot by then.
 """
 
 import uuid
@@ -24,27 +24,30 @@
 
 PREFIX = 'weights/slots/'
 FREE = b''
-"""Value of a slot that was given back."""
-KEEP_ALIVES = 3
-"""Keep-alives in the time of one lease: two may be lost."""
-SURE_SHARE = 0.9
-"""Part of a lease's time that its holder uses: clocks drift, and cancelling takes a while."""
+"""Value of a slot that was released."""
+KEEP_ALIVES_PER_LEASE = 3
+"""Keep-alives sent per lease time, so that two may be lost."""
+USABLE_LEASE_SHARE = 0.9
+"""Part of the lease time that the holder uses: clocks drift, and cancelling takes time."""
 RETRY_S = 1.0
-GIVE_BACK_S = 2.0
+RELEASE_TIMEOUT_S = 2.0
 
 PERMIT_LOST = events.event(
-    5005, 'WARNING', 'weight_permit_lost', 'a load of weights outlived its lease and was cancelled'
+    5005,
+    'WARNING',
+    'weight_permit_lost',
+    'a load of weights was cancelled because its lease expired',
 )
 
 
 class PermitLost(FleetError):
-    """The lease lapsed while weights were loaded: the load was cancelled."""
+    """The lease expired while weights were loaded; the load was cancelled."""
 
 
 class Permit(NamedTuple):
-    """A held slot: ``token`` tells this holding from all others.
+    """A held slot; ``token`` is unique to this permit.
 
-    It surely holds until ``until_unix_s``, reckoned from when the lease was asked for.
+    It is valid until ``until_unix_s``, calculated from the time when the lease was requested.
     """
 
     key: str
@@ -55,12 +58,12 @@
 
 
 class WeightStore:
-    """The permissions of one instance to load weights."""
+    """The permits of one instance to load weights."""
 
     def __init__(
         self, settings: PlatformSettings, clock: Clock, store: Store, instance: str
     ) -> None:
-        """Hold nothing yet."""
+        """Initialize with no permits."""
         self._ttl_s = settings.weight_lease_s
         self._slots = settings.weight_slots
         self._clock = clock
@@ -71,30 +74,30 @@
     async def permission(self, deadline_unix_s: float) -> AsyncIterator[Permit]:
         """Hold a slot while the body loads weights; wait for one until the deadline.
 
-        Raises ``TimeoutError`` where none came free, ``StoreUnreachable`` where the
-        store can't be asked, and ``PermitLost`` after it has cancelled the body.
+        Raises ``TimeoutError`` if no slot became free, ``StoreUnreachable`` if the store
+        can't be reached, and ``PermitLost`` after the body was cancelled.
         """
         permit = await self.take(deadline_unix_s)
         lost = anyio.Event()
         failure = None
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(self._keep, permit, lost, tasks.cancel_scope)
+            tasks.start_soon(self._keep_alive, permit, lost, tasks.cancel_scope)
             try:
                 yield permit
             except Exception as error:
-                # Raised again outside the group, which would wrap it.
+                # Raised again outside the task group, which would wrap it.
                 failure = error
             finally:
                 tasks.cancel_scope.cancel()
-                await self._give_back(permit)
+                await self._release(permit)
         if lost.is_set():
             PERMIT_LOST.log(instance=self._instance, key=permit.key)
-            raise PermitLost(f'the lease of {permit.key} lapsed')
+            raise PermitLost(f'the lease of {permit.key} expired')
         if failure is not None:
             raise failure
 
     async def take(self, deadline_unix_s: float) -> Permit:
-        """Take a slot without keeping it: its lease lapses unless it is extended."""
+        """Take a slot without keep-alives; its lease expires unless the caller extends it."""
         while True:
             permit = await self._take_free(deadline_unix_s)
             if isinstance(permit, Permit):
@@ -110,16 +113,16 @@
                 versions[stored.key] = stored.version
             else:
                 versions.pop(stored.key, None)
-        # Each instance goes through the free slots in an order of its own, or all
-        # that wait would race for the same one.
+        # Each instance tries the free slots in its own order; else all waiting instances
+        # would compete for the same slot.
         for key in rendezvous(self._instance, list(versions)):
-            permit = await self._hold(key, versions[key], deadline_unix_s)
+            permit = await self._take_slot(key, versions[key], deadline_unix_s)
             if permit is not None:
                 return permit
         return Absent(f'all {self._slots} slots of the weight store are held')
 
-    async def _hold(self, key: str, version: int, deadline_unix_s: float) -> Permit | None:
-        until_unix_s = self._clock.now_s() + self._ttl_s * SURE_SHARE
+    async def _take_slot(self, key: str, version: int, deadline_unix_s: float) -> Permit | None:
+        until_unix_s = self._clock.now_s() + self._ttl_s * USABLE_LEASE_SHARE
         lease_id = await self._store.grant(self._ttl_s, deadline_unix_s)
         token = f'{self._instance} {uuid.uuid4().hex}'.encode()
         found: Stored | Conflict | Absent
@@ -132,39 +135,41 @@
         return None
 
     async def _read_back(self, key: str, token: bytes, deadline_unix_s: float) -> Stored | Absent:
-        # The write may have taken effect without an answer; its token tells.
+        # The write may have taken effect although its response was lost; the token shows it.
         found = await self._store.read(key, deadline_unix_s)
         if isinstance(found, Stored) and found.value == token:
             return found
         return Absent(f'{key} was not taken')
 
-    async def _keep(self, permit: Permit, lost: anyio.Event, scope: anyio.CancelScope) -> None:
+    async def _keep_alive(
+        self, permit: Permit, lost: anyio.Event, scope: anyio.CancelScope
+    ) -> None:
         until_unix_s = permit.until_unix_s
         while until_unix_s > self._clock.now_s():
-            # Never beyond the lease: the slot may be another's from then on.
+            # Never sleep beyond the lease: after it another loader may hold the slot.
             left = left_s(self._clock, until_unix_s)
-            await anyio.sleep(min(left, self._ttl_s / KEEP_ALIVES))
+            await anyio.sleep(min(left, self._ttl_s / KEEP_ALIVES_PER_LEASE))
             if left_s(self._clock, until_unix_s):
                 until_unix_s = await self._extend(permit.lease_id, until_unix_s)
         lost.set()
         scope.cancel()
 
     async def _extend(self, lease_id: int, until_unix_s: float) -> float:
-        asked_unix_s = self._clock.now_s()
-        deadline_unix_s = min(until_unix_s, asked_unix_s + self._ttl_s / KEEP_ALIVES)
+        sent_unix_s = self._clock.now_s()
+        deadline_unix_s = min(until_unix_s, sent_unix_s + self._ttl_s / KEEP_ALIVES_PER_LEASE)
         try:
             alive = await self._store.keep_alive(lease_id, deadline_unix_s)
         except (StoreUnreachable, StoreWriteUnconfirmed):
             return until_unix_s
-        return asked_unix_s + self._ttl_s * SURE_SHARE if alive else 0
+        return sent_unix_s + self._ttl_s * USABLE_LEASE_SHARE if alive else 0
 
-    async def _give_back(self, permit: Permit) -> None:
-        # Only a courtesy: where it fails, the lease lapses and frees the slot.  A
-        # conflict means that another holds it already, and nothing is overwritten.
-        with anyio.move_on_after(GIVE_BACK_S, shield=True):
+    async def _release(self, permit: Permit) -> None:
+        # Optional: if it fails, the slot is free when the lease expires.  A conflict means
+        # that another loader already holds the slot, and nothing is overwritten.
+        with anyio.move_on_after(RELEASE_TIMEOUT_S, shield=True):
             try:
                 await self._store.swap(
-                    permit.key, FREE, permit.version, self._clock.now_s() + GIVE_BACK_S
+                    permit.key, FREE, permit.version, self._clock.now_s() + RELEASE_TIMEOUT_S
                 )
             except (StoreUnreachable, StoreWriteUnconfirmed):
                 return
