--- a/features/steps/word_of_leaving_steps.py
+++ b/features/steps/word_of_leaving_steps.py
@@ -4,7 +4,7 @@
 
 from behave import given, then, when
 
-from subjects.saying_servers import SayingServers
+from subjects.announcing_servers import AnnouncingFleet
 
 LATER_BORN_UNIX_MS = 1_800_000_000_000
 
@@ -21,7 +21,7 @@
 )
 def start_with_sidecars(context: Any, routers: int, sidecars: int, servers: int) -> None:
     """Start them."""
-    context.play = SayingServers(routers, servers, sidecars)
+    context.play = AnnouncingFleet(routers, servers, sidecars)
     context.add_cleanup(context.play.close)
 
 
--- a/features/subjects/saying_servers.py
+++ b/features/subjects/announcing_servers.py
@@ -30,7 +30,7 @@
 ROUTE = Route('boards', 'host', '/b/', Repeat.SAFE, 4000, 500, 1, (Target(SERVICE, 1),), 3)
 
 
-class SayingServer:
+class AnnouncingServer:
     """One server: its responses, and how many requests it got."""
 
     def __init__(self) -> None:
@@ -63,10 +63,10 @@
         )
 
 
-class SayingTransport(asyncio.Transport):
+class AnnouncingTransport(asyncio.Transport):
     """A connection to such a server."""
 
-    def __init__(self, server: SayingServer, connection: ServerConnection) -> None:
+    def __init__(self, server: AnnouncingServer, connection: ServerConnection) -> None:
         """Let ``server`` answer what is sent."""
         super().__init__()
         self._server = server
@@ -86,7 +86,7 @@
         """Stay open."""
 
 
-class SayingServers(RouterFleet):
+class AnnouncingFleet(RouterFleet):
     """Routers and such servers; each call runs on one loop in virtual time."""
 
     def __init__(self, routers: int, servers: int, sidecars: int = 0) -> None:
@@ -94,7 +94,7 @@
         super().__init__(sidecars)
         self._runners: list[Runner] = []
         self._ids = itertools.count()
-        self.servers = [SayingServer() for _ in range(servers)]
+        self.servers = [AnnouncingServer() for _ in range(servers)]
         self.sinks: list[RecordingSink] = []
         self._loop.run(self._start, routers)
 
@@ -161,7 +161,7 @@
         await anyio.sleep(0)
         connection = ServerConnection()
         number = int(address.partition(':')[0].rpartition('.')[2])
-        connection.connection_made(SayingTransport(self.servers[number], connection))
+        connection.connection_made(AnnouncingTransport(self.servers[number], connection))
         return connection
 
     async def _come(self, times: int, router: int) -> None:
--- a/features/subjects/evacuated_fleet.py
+++ b/features/subjects/evacuated_fleet.py
@@ -13,10 +13,10 @@
 from endivesaddle.fleet.interfaces import ServerRefused
 from endivesaddle.fleet.routes.header_names import HeaderNames
 from endivesaddle.fleet.routes.running import Runner
+from subjects.announcing_servers import ACCOUNT, AnnouncingFleet, AnnouncingServer
 from subjects.cut_router import CutRouter
 from subjects.forward_runs import RecordingSink
 from subjects.leaving_servers import SERVERS, SERVICE
-from subjects.saying_servers import ACCOUNT, SayingServer, SayingServers
 from subjects.users_platform import module
 
 DATA_CENTRES = ('porto-a', 'porto-b', 'porto-c')
@@ -27,7 +27,7 @@
 WINDOW_S = 1.0
 
 
-class TimedServer(SayingServer):
+class TimedServer(AnnouncingServer):
     """A server that records when requests reach it."""
 
     def __init__(self, clock: LoopClock) -> None:
@@ -53,7 +53,7 @@
         )
 
 
-class EvacuatedFleet(SayingServers):
+class EvacuatedFleet(AnnouncingFleet):
     """Server n is in data centre n modulo 3; documents are in the format of the users' platform."""
 
     def __init__(self, routers: int, servers: int, sidecars: int = 0) -> None:
--- a/features/subjects/limited_fleet.py
+++ b/features/subjects/limited_fleet.py
@@ -4,8 +4,8 @@
 
 import anyio
 
+from subjects.announcing_servers import NOT_RUN, OK, PAUSE_S, UNAVAILABLE
 from subjects.evacuated_fleet import EvacuatedFleet
-from subjects.saying_servers import NOT_RUN, OK, PAUSE_S, UNAVAILABLE
 
 LIMIT = 'endivesaddle-limit'
 DELAY_S = 2.0
--- a/packages/fleet/src/endivesaddle/fleet/routes/crash_detection.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/crash_detection.py
@@ -116,8 +116,8 @@
         self._pending = deque(maxlen=MAX_PENDING)
         for broken in pending:
             if self._has_ended(broken):
-                life = broken.server.incarnation
-                self._records.record_crash(broken.digest, life, broken.run, now_unix_s)
+                incarnation = broken.server.incarnation
+                self._records.record_crash(broken.digest, incarnation, broken.run, now_unix_s)
             else:
                 self._pending.append(broken)
 
