--- a/features/engines.feature
+++ b/features/engines.feature
@@ -1,5 +1,5 @@
 Feature: Clients of backend servers
-  A sidecar reaches its engine over the OpenAI API and a plain service as it is.
+  A sidecar calls its engine over the OpenAI API, and relays calls to a plain service.
 
   Scenario: An engine's stream is relayed event by event and its usage is taken from it
     Given an engine behind its client
@@ -8,7 +8,7 @@
     And the engine client reports 7 used tokens
     And the engine client left out the usage that the caller did not ask for
 
-  Scenario: Events are whole however the network cuts them
+  Scenario: Events are complete however the network splits them
     Then events cut at any two bytes come out whole, with LF and with CRLF
     And an event that never ends is refused at its bound
 
@@ -17,7 +17,7 @@
     When the client runs a streamed request for 5 tokens that asks for usage
     Then the engine client passed the usage on
 
-  Scenario: The limit of tokens is always written out to the engine
+  Scenario: The token limit is always sent to the engine
     Given an engine behind its client
     When the client runs a streamed request without a limit that may generate 3 tokens
     Then the engine was asked for at most 3 tokens
@@ -42,30 +42,30 @@
     And the engine saw 0 requests
 
   Scenario: An engine that dies within an answer may have run it
-    The engine breaks its connection off after two tokens. What came is relayed, then
-    the client says that the server was lost, never that nothing was sent.
+    The connection breaks after two tokens. The received tokens are relayed, then the
+    client reports the server as lost, never the request as not sent.
     Given an engine behind its client that dies after 2 tokens
     When the client runs a streamed request for 5 tokens
     Then the engine client says that the server was lost
     And the engine client had relayed 2 tokens and counted them
 
-  Scenario: A stream that ends without its last event is no whole answer
-    A device between the two ends closes the connection properly, in the middle of the
-    answer. Without the last event it must not pass for the whole answer.
+  Scenario: A stream that ends without its last event is not complete
+    A network device closes the connection properly in the middle of a response. Without
+    its last event it must not count as complete.
     Given an engine behind its client whose streams are cut after 2 tokens
     When the client runs a streamed request for 5 tokens
     Then the engine client says that the server was lost
     And the engine client had relayed 2 tokens and counted them
 
-  Scenario: A connection that falls silent within an answer is noticed by a stored deadline
-    After two tokens nothing comes any more and nothing is closed, as when a device
-    between the two ends has lost track of the connection.
+  Scenario: A connection that hangs within a response is detected by a time-out
+    After two tokens no data arrives and the connection stays open, as when a network
+    device has lost the connection's state.
     Given an engine behind its client that falls silent after 2 tokens
     When the client runs a streamed request for 5 tokens
     Then the engine client says that the server was lost
     And the engine client noticed it within 11 seconds
 
-  Scenario: Closing the answer cancels the work on the engine
+  Scenario: Closing the response cancels the request on the engine
     Given an engine behind its client
     When the client closes a streamed request after 2 tokens
     Then the engine hears of the cancel and stops generating
--- a/features/steps/server_signals_steps.py
+++ b/features/steps/server_signals_steps.py
@@ -41,19 +41,19 @@
 
 @then('{count:d} lines tell of headers that are not read')
 def told_often(context: Any, count: int) -> None:
-    """Count the lines."""
+    """Count the log lines."""
     assert len(context.logged.fields(UNREAD)) == count
 
 
 @then('each of these lines is shorter than {characters:d} characters')
 def short(context: Any, characters: int) -> None:
-    """Measure the lines."""
+    """Compare the lengths of the log lines."""
     assert max(len(str(fields)) for fields in context.logged.fields(UNREAD)) < characters
 
 
 @when('the operator writes the key "{key}"')
 def write_key(context: Any, key: str) -> None:
-    """Write it, and keep the lines from here on."""
+    """Write the key, and record log events from now on."""
     context.logged = LoggedEvents()
     context.add_cleanup(context.logged.close)
     context.users.write(key, {})
@@ -61,13 +61,13 @@
 
 @when('a configuration has the field "{field}" in each of its parts')
 def write_config(context: Any, field: str) -> None:
-    """Write one."""
+    """Write a configuration with the field."""
     context.users.write('op/config', config_with(field))
 
 
 @when('the configuration and the entry of the pages are written')
 def write_known(context: Any) -> None:
-    """Write them, and keep the lines from here on."""
+    """Write them, and record log events from now on."""
     context.logged = LoggedEvents()
     context.add_cleanup(context.logged.close)
     context.users.write('op/config', PAGES_CONFIG)
@@ -76,7 +76,7 @@
 
 @then('these names are told of as not read, each once')
 def names_told(context: Any) -> None:
-    """Compare the lines."""
+    """Compare the logged names."""
     told = [(one['where'], one['met']) for one in context.logged.fields(UNREAD_NAME)]
     assert sorted(told) == sorted((row['where'], row['name']) for row in context.table), told
 
--- a/features/subjects/engine_transport.py
+++ b/features/subjects/engine_transport.py
@@ -1,7 +1,7 @@
 """An httpx transport that streams from an ASGI application in the same process.
 
-``httpx.ASGITransport`` collects the whole answer first, so it can show neither
-an answer under way nor one that breaks off.
+``httpx.ASGITransport`` collects the complete response first, so that it supports neither streams
+nor interrupted responses.
 """
 
 from collections.abc import AsyncIterator
@@ -22,7 +22,7 @@
         self.requests: list[httpx.Request] = []
 
     async def handle_async_request(self, request: httpx.Request) -> httpx.Response:
-        """Pass a request to the application and return its answer under way."""
+        """Pass a request to the application and return its streaming response."""
         await anyio.sleep(0)
         if self.refuses_connections:
             raise httpx.ConnectError('connection refused')
@@ -36,10 +36,10 @@
 
 
 class Exchange(httpx.AsyncByteStream):
-    """One request and the answer to it."""
+    """One request and its response."""
 
     def __init__(self, request: httpx.Request, body: bytes) -> None:
-        """Hold what the application is to receive."""
+        """Initialize with the request for the application."""
         self.begun = anyio.Event()
         self.status = 0
         self.headers: list[tuple[bytes, bytes]] = []
@@ -69,14 +69,14 @@
             self._send_piece.close()
 
     async def __aiter__(self) -> AsyncIterator[bytes]:
-        """Yield the answer's pieces."""
+        """Yield the parts of the response body."""
         async for piece in self._pieces:
             yield piece
         if self._broken:
             raise httpx.RemoteProtocolError('the peer closed the connection')
 
     async def aclose(self) -> None:
-        """Close the connection: the application hears of it."""
+        """Close the connection and notify the application."""
         self._gone.set()
 
     async def _receive(self) -> dict[str, Any]:
--- a/features/subjects/engines.py
+++ b/features/subjects/engines.py
@@ -1,4 +1,4 @@
-"""Subject: the clients of backend servers, over a transport that streams in memory."""
+"""Subject: the clients of backend servers, over an in-memory streaming transport."""
 
 from collections.abc import Awaitable, Callable
 from contextlib import aclosing, suppress
@@ -26,17 +26,17 @@
 
 
 class Closed(Exception):
-    """The caller closes the answer."""
+    """The caller closes the response."""
 
 
 def close_at(taken: int, close_after: int) -> None:
-    """Close the answer once enough was taken."""
+    """Close the response once enough events have been received."""
     if close_after and taken == close_after:
         raise Closed
 
 
 class BackendSubject:
-    """Runs one request through a client and keeps what came."""
+    """Runs one request through a client and records the response."""
 
     def __init__(self, **switches: Any) -> None:
         """Set the engine's switches."""
@@ -64,7 +64,7 @@
         return dict(self.requests[-1].headers)
 
     def run(self, body: dict[str, Any], max_tokens: int = 0, close_after: int = 0) -> None:
-        """Run a request on the engine, perhaps only until some tokens came."""
+        """Run a request on the engine, optionally closing it after some tokens."""
         content = [{'role': 'user', 'content': 'compose boards'}]
         message = runs_pb2.StartRequest(
             request_key='atelier/r1',
@@ -96,7 +96,7 @@
         self._play(ServiceApp(self.service), SERVICE, lambda client: self._take(client, message, 0))
 
     def order(self, model: str, fence: int) -> None:
-        """Order with a number, read the load, and order with the number before."""
+        """Send an order with a fence, one with the previous fence, and read the load."""
 
         async def scene(client: EngineClient) -> None:
             for number in (fence, fence - 1):
