--- a/features/steps/platform_rates_steps.py
+++ b/features/steps/platform_rates_steps.py
@@ -16,7 +16,7 @@
 
 @given('platform rates: {count:d} routers that have seen each other for {for_s:d} seconds')
 def started(context: Any, count: int, for_s: int) -> None:
-    """Start the routers and let them see the fleet."""
+    """Start the routers and have them see the fleet."""
     start(context, count)
     context.rates.see(count, for_s)
 
@@ -35,11 +35,11 @@
 
 
 @when(
-    'platform rates: each asks for {reads:d} reads and {writes:d} writes within {within:d} seconds'
+    'platform rates: each requests {reads:d} reads and {writes:d} writes within {within:d} seconds'
 )
-def ask(context: Any, reads: int, writes: int, within: int) -> None:
+def call(context: Any, reads: int, writes: int, within: int) -> None:
     """Make calls at once."""
-    context.rates.ask(reads, writes, within)
+    context.rates.call(reads, writes, within)
 
 
 @when('platform rates: all of them write without pause for {for_s:d} seconds')
@@ -50,43 +50,43 @@
 
 @when('platform rates: each sees only {count:d} of them for {for_s:d} seconds')
 def see(context: Any, count: int, for_s: int) -> None:
-    """Change the view."""
+    """Change the number of routers that each sees."""
     context.rates.see(count, for_s)
 
 
-@when('platform rates: the fleet starts and has its declarations and a request at once')
+@when('platform rates: the fleet starts and gets its declarations and a request at once')
 def play(context: Any) -> None:
-    """Play the start."""
+    """Run the start of the fleet."""
     context.start.play()
 
 
 @then('platform rates: none of these calls was refused')
 def none_refused(context: Any) -> None:
-    """Count the refusals."""
+    """Check the number of refused calls."""
     assert context.rates.refused() == 0, context.rates.refused()
 
 
 @then('platform rates: the store saw {least:g} to {most:g} writes a second')
 def saw(context: Any, least: float, most: float) -> None:
-    """Compare the rate."""
+    """Check the rate of writes."""
     assert least <= context.rates.writes_per_s <= most, context.rates.writes_per_s
 
 
 @then('platform rates: each has the share of a fleet of {count:d}')
 def share(context: Any, count: int) -> None:
-    """Compare what the rates are divided by."""
+    """Check the number by which the rates are divided."""
     assert {rate.routers for rate in context.rates.rates} == {count}
 
 
-@then('platform rates: the request has its answer and no call was refused')
-def answered(context: Any) -> None:
-    """Compare the answer and the counts."""
-    got = context.start.got
-    assert got.complete and got.status == 200, got
+@then('platform rates: the request gets its response and no call was refused')
+def responded(context: Any) -> None:
+    """Check the response and the number of refused calls."""
+    response = context.start.response
+    assert response.complete and response.status == 200, response
     assert context.start.refused == 0, context.start.refused
 
 
 @then("platform rates: each of the fleet's routers divides by 4")
 def divided(context: Any) -> None:
-    """Compare what the real routers divide by."""
+    """Check the number by which the real routers divide."""
     assert context.start.routers == [4, 4, 4, 4], context.start.routers
--- a/features/subjects/platform.py
+++ b/features/subjects/platform.py
@@ -16,10 +16,10 @@
 
 
 class Loads:
-    """Instances that load weights under one store."""
+    """Instances that load weights and share one store."""
 
     def __init__(self, slots: int) -> None:
-        """Start with all slots free."""
+        """Initialize with all slots free."""
         self._settings = PlatformSettings(weight_slots=slots, weight_lease_s=LEASE_S)
         self.store: Any = None
         self.running = 0
@@ -28,7 +28,7 @@
         self.began_s: list[float] = []
 
     def load(self, count: int, seconds: float, wait_s: float, lost_answers: int = 0) -> None:
-        """Have instances load side by side."""
+        """Have instances load concurrently."""
 
         async def main() -> None:
             self._open()
@@ -40,7 +40,7 @@
         virtual.run(main)
 
     def die(self, wait_s: float) -> None:
-        """Have a loader vanish, which gives nothing back, and another wait."""
+        """Have a loader die without releasing its slot, and another wait for the slot."""
 
         async def main() -> None:
             self._open()
@@ -63,7 +63,7 @@
         virtual.run(main)
 
     def fail(self) -> None:
-        """Have a load fail, and another instance load at once."""
+        """Have a load fail, and another instance load right after it."""
 
         async def main() -> None:
             self._open()
@@ -103,28 +103,28 @@
 
 
 class FollowedList:
-    """The list of instances, answered as scripted; the last answer stays."""
+    """A list of instances with scripted responses, of which the last is repeated."""
 
-    def __init__(self, answers: list[tuple[int, str]]) -> None:
-        """Take status and body of each answer."""
-        self._answers = answers
-        self.asked: list[httpx.Headers] = []
-        self.seen: list[str] = []
+    def __init__(self, responses: list[tuple[int, str]]) -> None:
+        """Initialize with the status and body of each response."""
+        self._responses = responses
+        self.request_headers: list[httpx.Headers] = []
+        self.lists: list[str] = []
 
     def follow(self, seconds: float) -> None:
-        """Follow the list for a while."""
+        """Follow the list for some seconds."""
         virtual.run(lambda: self._follow(seconds))
 
     async def _follow(self, seconds: float) -> None:
         settings = PlatformSettings(instance_list_url='http://platform/instances')
-        client = httpx.AsyncClient(transport=httpx.MockTransport(self._answer))
+        client = httpx.AsyncClient(transport=httpx.MockTransport(self._respond))
         instances = InstanceList(settings, LoopClock(), client)
         with anyio.move_on_after(seconds):
             async for entries in instances.follow():
-                self.seen.append(', '.join(' '.join(entry) for entry in entries))
+                self.lists.append(', '.join(' '.join(entry) for entry in entries))
         await instances.aclose()
 
-    def _answer(self, request: httpx.Request) -> httpx.Response:
-        status, body = self._answers[min(len(self.asked), len(self._answers) - 1)]
-        self.asked.append(request.headers)
+    def _respond(self, request: httpx.Request) -> httpx.Response:
+        status, body = self._responses[min(len(self.request_headers), len(self._responses) - 1)]
+        self.request_headers.append(request.headers)
         return httpx.Response(status, text=body, headers={'etag': '"first"'})
--- a/features/subjects/platform_connections.py
+++ b/features/subjects/platform_connections.py
@@ -1,4 +1,4 @@
-"""Subject: how many connections the store's adapter opens."""
+"""Subject: the number of connections that the store's adapter opens."""
 
 import asyncio
 from collections import Counter
@@ -18,19 +18,19 @@
 from subjects.links_loop import ScenarioLoop
 
 WATCH = '/v3/watch'
-BEFORE_S = 0.1
-UNBOUND_PER_S = 10000
+QUEUE_DELAY_S = 0.1
+UNLIMITED_PER_S = 10000
 SOCKET_WRITES = 64
-CALLS = 16
-WATCHED = 'watched'
-ENOUGH_S = 10
+MAX_OPEN_CALLS = 16
+WATCHED_KEY = 'watched'
+DEADLINE_S = 10
 
 
 class CountedGateway:
-    """A gateway that counts the calls that are open, and where they came from."""
+    """A gateway that counts the open calls and records their client addresses."""
 
     def __init__(self, gateway: EtcdGateway) -> None:
-        """Pass on to ``gateway``."""
+        """Initialize with the gateway that the calls are passed to."""
         self._gateway = gateway
         self._open = 0
         self.most = 0
@@ -40,7 +40,7 @@
         self.full = anyio.Event()
 
     async def __call__(self, scope: Any, receive: Any, send: Any) -> None:
-        """Answer one request."""
+        """Serve one request."""
         self.clients.add(scope.get('client'))
         if scope.get('path') == WATCH or scope['type'] == 'lifespan':
             await self._gateway(scope, receive, send)
@@ -48,27 +48,27 @@
         self.sent += 1
         self._open += 1
         self.most = max(self.most, self._open)
-        if self._open == CALLS:
+        if self._open == MAX_OPEN_CALLS:
             self.full.set()
         try:
-            await self._answer(scope, receive, send)
+            await self._pass_on(scope, receive, send)
         finally:
             self._open -= 1
 
-    async def _answer(self, scope: Any, receive: Any, send: Any) -> None:
+    async def _pass_on(self, scope: Any, receive: Any, send: Any) -> None:
         if self.held is not None:
             await self.held.wait()
         await self._gateway(scope, receive, send)
 
 
 class Connections:
-    """One adapter at one slow store."""
+    """One adapter of one slow store."""
 
     def __init__(self, delay_s: float) -> None:
-        """Start."""
+        """Initialize with a store that takes ``delay_s`` over each call."""
         self._loop = ScenarioLoop()
         self.outcomes: Counter[str] = Counter()
-        self.told_s = 0.0
+        self.reported_s = 0.0
         self._rounds = 0
         self._loop.run(self._start, delay_s)
 
@@ -78,7 +78,7 @@
         self._loop.close()
 
     def slow(self, delay_s: float) -> None:
-        """Have the store take so long over each call."""
+        """Have the store take ``delay_s`` over each call."""
         self.memory.delay_s = delay_s
 
     def write(self, count: int, within_s: float) -> None:
@@ -86,11 +86,11 @@
         self._loop.run(self._write, count, within_s)
 
     def begin_writing(self, count: int, within_s: float) -> None:
-        """Write keys at once, and return while they wait."""
+        """Write keys at once, and return while the writes wait."""
         self._loop.run(self._begin, count, within_s)
 
     def watch(self, key: str, change_after_s: float) -> None:
-        """Watch a key that is changed behind the adapter's back."""
+        """Watch a key that is changed directly in the store."""
         self._loop.run(self._watch, key, change_after_s)
 
     async def _start(self, delay_s: float) -> None:
@@ -102,12 +102,12 @@
         client = httpx.AsyncClient(transport=AsgiTransport({'one': self.gateway}))
         settings = PlatformSettings(store_urls=('etcd+http://one',))
         self.store = EtcdStore(settings, clock, client)
-        self.store.rate.limit(UNBOUND_PER_S, UNBOUND_PER_S, 0)
+        self.store.rate.limit(UNLIMITED_PER_S, UNLIMITED_PER_S, 0)
 
     async def _begin(self, count: int, within_s: float) -> None:
-        # The loop outlives the step, and so does the task: a task group would not.
+        # Not in a task group: the task continues after the step, like the loop.
         self._writing = asyncio.create_task(self._write(count, within_s))
-        await anyio.sleep(BEFORE_S)
+        await anyio.sleep(QUEUE_DELAY_S)
 
     async def _write(self, count: int, within_s: float) -> None:
         self._rounds += 1
@@ -128,7 +128,7 @@
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._change, key, change_after_s)
             await anext(self.store.watch(key, 0))
-        self.told_s = self.clock.now_s() - began_s
+        self.reported_s = self.clock.now_s() - began_s
 
     async def _change(self, key: str, after_s: float) -> None:
         await anyio.sleep(after_s)
@@ -137,7 +137,7 @@
 
 
 async def write(store: EtcdStore, key: str, deadline_unix_s: float) -> str:
-    """Write a key; return how it went."""
+    """Write a key; return the outcome."""
     try:
         await store.swap(key, b'new', 0, deadline_unix_s)
     except StoreUnreachable:
@@ -148,30 +148,31 @@
 
 
 class OverSockets:
-    """Writes that are held, and a watch that begins under them, over real sockets."""
+    """Writes that wait at the server, and a watch opened meanwhile, over real sockets."""
 
     def __init__(self) -> None:
-        """Begin with nothing."""
+        """Initialize with no connections and nothing reported."""
         self.connections = 0
-        self.told: Stored | None = None
+        self.reported: Stored | None = None
 
     async def play(self) -> None:
-        """Serve, write and watch."""
+        """Serve the gateway, write keys and watch one."""
         clock = WallClock()
         memory = MemoryStore(clock)
         gateway = CountedGateway(EtcdGateway(memory, clock))
         gateway.held = anyio.Event()
-        await memory.swap(WATCHED, b'new', 0, clock.now_s() + ENOUGH_S)
+        await memory.swap(WATCHED_KEY, b'new', 0, clock.now_s() + DEADLINE_S)
         async with serve_asgi(gateway) as url:
             store = EtcdStore(PlatformSettings(store_urls=(f'etcd+{url}',)), clock)
-            store.rate.limit(UNBOUND_PER_S, UNBOUND_PER_S, 0)
-            deadline_unix_s = clock.now_s() + ENOUGH_S
+            store.rate.limit(UNLIMITED_PER_S, UNLIMITED_PER_S, 0)
+            deadline_unix_s = clock.now_s() + DEADLINE_S
             async with anyio.create_task_group() as tasks:
                 for number in range(SOCKET_WRITES):
                     tasks.start_soon(write, store, str(number), deadline_unix_s)
-                # No write is answered before the watch is told: their connections are taken.
+                # No write gets a response before the watch has reported, so that the writes keep
+                # their connections.
                 await gateway.full.wait()
-                self.told = await anext(store.watch(WATCHED, 0))
+                self.reported = await anext(store.watch(WATCHED_KEY, 0))
                 gateway.held.set()
             await store.aclose()
         self.connections = len(gateway.clients - {None})
--- a/features/subjects/platform_rates.py
+++ b/features/subjects/platform_rates.py
@@ -18,13 +18,13 @@
 from subjects import fault_scene
 from subjects.links_loop import ScenarioLoop
 
-PATIENCE_S = 60.0
-SEEN_S = 20.0
-BEFORE_S = 2.0
+WAIT_LIMIT_S = 60.0
+DISCOVERY_S = 20.0
+START_DELAY_S = 2.0
 
 
 class Rates:
-    """The rates of many instances, and the calls that the store sees of them."""
+    """The rate limiters of many instances, and the rate of writes that the store gets."""
 
     def __init__(self, count: int) -> None:
         """Start the instances."""
@@ -37,23 +37,23 @@
         self._loop.close()
 
     def see(self, count: int, for_s: int) -> None:
-        """Have each see so many routers for a while, up to its end."""
+        """Have each instance see ``count`` routers for ``for_s`` seconds."""
         self._loop.run(self._see, count, for_s)
 
     def limit_sidecars(self) -> None:
-        """Make sidecars of the instances."""
+        """Set the rates of sidecars for all instances."""
         self._loop.run(self._limit_sidecars)
 
     def write(self, for_s: int) -> None:
-        """Have all write as fast as they can."""
+        """Have all instances write as fast as they can."""
         self._loop.run(self._write, for_s)
 
-    def ask(self, reads: int, writes: int, within_s: float) -> None:
-        """Have each make calls at once, with one deadline."""
-        self._loop.run(self._ask, [*repeat('read', reads), *repeat('swap', writes)], within_s)
+    def call(self, reads: int, writes: int, within_s: float) -> None:
+        """Have each instance make calls at once, all with the same deadline."""
+        self._loop.run(self._call, [*repeat('read', reads), *repeat('swap', writes)], within_s)
 
     def refused(self) -> int:
-        """Return the number of calls refused."""
+        """Return the number of refused calls."""
         return sum(rate.refused.total() for rate in self.rates)
 
     async def _start(self, count: int) -> None:
@@ -81,9 +81,9 @@
 
     async def _write_on(self, rate: StoreRate) -> None:
         while True:
-            await rate.take('swap', self.clock.now_s() + PATIENCE_S)
+            await rate.take('swap', self.clock.now_s() + WAIT_LIMIT_S)
 
-    async def _ask(self, kinds: Sequence[str], within_s: float) -> None:
+    async def _call(self, kinds: Sequence[str], within_s: float) -> None:
         deadline_unix_s = self.clock.now_s() + within_s
         async with anyio.create_task_group() as tasks:
             for rate in self.rates:
@@ -99,53 +99,53 @@
 
 
 class RatedStore:
-    """A store that is called within a rate, as the adapter of etcd does it."""
+    """A store whose calls are limited by a rate, as in the etcd adapter."""
 
     def __init__(self, store: Any, rate: StoreRate, clock: LoopClock) -> None:
-        """Pass on to ``store``."""
+        """Initialize with the store that the calls are passed to."""
         self._store = store
         self._rate = rate
         self._clock = clock
 
     async def read(self, key: str, deadline_unix_s: float) -> Any:
-        """Read in turn."""
+        """Read a key when the rate allows it."""
         await self._rate.take('read', deadline_unix_s)
         return await self._store.read(key, deadline_unix_s)
 
     async def list(self, prefix: str, deadline_unix_s: float) -> Sequence[Stored]:
-        """List in turn."""
+        """List a prefix when the rate allows it."""
         await self._rate.take('list', deadline_unix_s)
         return await self._store.list(prefix, deadline_unix_s)
 
     async def swap(
         self, key: str, value: bytes, version: int, deadline_unix_s: float, lease_id: int = 0
     ) -> Any:
-        """Write in turn."""
+        """Write a key when the rate allows it."""
         await self._rate.take('swap', deadline_unix_s)
         return await self._store.swap(key, value, version, deadline_unix_s, lease_id)
 
     async def grant(self, ttl_s: int, deadline_unix_s: float) -> int:
-        """Take a lease in turn."""
+        """Create a lease when the rate allows it."""
         await self._rate.take('lease', deadline_unix_s)
         return await self._store.grant(ttl_s, deadline_unix_s)
 
     async def keep_alive(self, lease_id: int, deadline_unix_s: float) -> bool:
-        """Extend a lease in turn."""
+        """Extend a lease when the rate allows it."""
         await self._rate.take('lease', deadline_unix_s)
         return await self._store.keep_alive(lease_id, deadline_unix_s)
 
     async def watch(self, prefix: str, after_version: int) -> AsyncIterator[Stored]:
-        """Watch in turn."""
-        await self._rate.take('watch', self._clock.now_s() + PATIENCE_S)
+        """Watch a prefix when the rate allows it."""
+        await self._rate.take('watch', self._clock.now_s() + WAIT_LIMIT_S)
         async for stored in self._store.watch(prefix, after_version):
             yield stored
 
 
 class RatedFleet(MemoryFleet):
-    """A fleet whose instances call the store within their shares."""
+    """A fleet whose instances limit their store calls to their shares."""
 
     def __init__(self, *rest: Any) -> None:
-        """Start without instances."""
+        """Initialize with no instances."""
         super().__init__(*rest)
         self.rates: dict[str, StoreRate] = {}
 
@@ -157,17 +157,17 @@
 
 
 class RatedStart:
-    """The start of a fleet of four routers, with a request as early as can be."""
+    """The start of a fleet of four routers, with a request as early as possible."""
 
     def __init__(self) -> None:
-        """Play it."""
+        """Initialize with no calls and no response."""
         self.refused = 0
         self.routers: list[int] = []
         self.calls: dict[str, dict[str, int]] = {}
-        self.got: Got | None = None
+        self.response: Got | None = None
 
     def play(self) -> None:
-        """Start, declare, ask and wait."""
+        """Start the fleet, apply declarations, send a request and record the results."""
         virtual.run(self._play)
 
     async def _play(self) -> None:
@@ -175,18 +175,18 @@
             fleet = RatedFleet(group)
             fleet.add_routers(*fault_scene.ROUTERS)
             fleet.add_sidecar(fault_scene.SIDECARS[0])
-            await anyio.sleep(BEFORE_S)
+            await anyio.sleep(START_DELAY_S)
             text = fault_scene.DECLARATIONS + fault_scene.SERVER.format(
                 name='llm-1', data_centre='porto-a'
             )
             reply = await fleet.command('r1', f'apply file:azulejo.toml base:0\n{text}')
             assert reply['status'] == 0, reply
-            await anyio.sleep(BEFORE_S)
+            await anyio.sleep(START_DELAY_S)
             caller = fleet.caller('r1', fault_scene.KEY)
             message = {'role': 'user', 'content': 'which board?'}
             body = {'model': 'board', 'max_tokens': 8, 'messages': [message]}
-            self.got = await caller.post(fault_scene.CHAT, body)
-            await anyio.sleep(SEEN_S)
+            self.response = await caller.post(fault_scene.CHAT, body)
+            await anyio.sleep(DISCOVERY_S)
             for name in ('r1', 'r2', 'r3', 'r4'):
                 rate = fleet.rates[fleet.running[name].address]
                 self.calls[name] = dict(rate.calls)
