--- a/features/neighbours.feature
+++ b/features/neighbours.feature
@@ -38,7 +38,7 @@
   Scenario: An aggregator that is gone is replaced by the next one
     Given 10 routers and 2 sidecars that share a total of 1000000 tokens
     When 3 seconds go by
-    And sidecar 0 stops answering
+    And sidecar 0 falls silent
     And 3 seconds go by
     And router 0 sends a prompt of 900 tokens
     And 2 seconds go by
