--- a/packages/fleet/src/endivesaddle/fleet/requests/finishing.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/finishing.py
@@ -102,7 +102,7 @@
         message = runs_pb2.CancelRequest(
             request_key=record.request_key,
             attempt=record.attempt,
-            reason='the caller disconnected',
+            reason='the caller went away',
             incarnation=record.sidecar_incarnation,
         )
         deadline_unix_s = self._context.now_s() + self._context.settings.call_s
--- a/packages/fleet/src/endivesaddle/fleet/requests/granting.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/granting.py
@@ -142,4 +142,4 @@
         """Release a claim at once if its caller disconnected while it was pending."""
         entry = self._table.find(pending.message.request_key)
         if pending.disconnected and entry is not None and entry.calls == {pending.message.call_id}:
-            self._settler.close_not_run(entry, 'the caller disconnected')
+            self._settler.close_not_run(entry, 'the caller left')
--- a/packages/fleet/src/endivesaddle/fleet/requests/settling.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/settling.py
@@ -147,7 +147,7 @@
             # caller must not get "not run".
             return holders_pb2.SettleReply(reason=states.OTHERS_ATTACHED)
         record.refusal_status = message.refusal_status
-        self.close_not_run(entry, 'reservation released')
+        self.close_not_run(entry, 'given back')
         return _settled(record)
 
     def _accept_late_answer(self, entry: Entry, message: holders_pb2.SettleRequest) -> bool:
