--- a/packages/daemon/src/endivesaddle/daemon/forwarder.py
+++ b/packages/daemon/src/endivesaddle/daemon/forwarder.py
@@ -211,7 +211,7 @@
         (events.CUT if cut else events.DRAINED).log(instance=self._settings.place.instance)
 
     async def _give_back(self) -> None:
-        """Give the keepers back what is not in use, and the store what is kept here."""
+        """Give the allocators back what is not in use, and the store what is kept here."""
         await self.parts.pools.release()
         await self.parts.allocator.release()
 
