--- a/features/subjects/platform_store.py
+++ b/features/subjects/platform_store.py
@@ -1,4 +1,4 @@
-"""Subject: the store's adapter over the gateway stand-in."""
+"""Subject: the store's adapter over a stand-in for the gateway."""
 
 import contextlib
 import pathlib
@@ -28,10 +28,10 @@
 
 
 class PlatformStore:
-    """One adapter, one or two URLs, one store behind them."""
+    """One adapter with one or two URLs of the same store."""
 
     def __init__(self, url_count: int) -> None:
-        """Start whole; ``close`` ends it."""
+        """Initialize with no failures; ``close`` ends the loop."""
         self._loop = ScenarioLoop()
         self.outcomes: list[str] = []
         self.took_s = 0.0
@@ -46,11 +46,11 @@
         self._loop.close()
 
     def do(self, call: Callable[[], Awaitable[Any]]) -> Any:
-        """Make calls; note how they ended and how long they took."""
+        """Make calls; record their outcome and duration."""
         return self._loop.run(self._timed, call)
 
     def sleep(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance the clock."""
         self._loop.run(anyio.sleep, seconds)
 
     def write(self, key: str, version: int = 0, lease_id: int = 0) -> None:
@@ -62,7 +62,7 @@
         return self.do(lambda: self.store.read(key, self.deadline_unix_s()))
 
     def fill(self, *keys: str) -> None:
-        """Write keys behind the adapter's back."""
+        """Write keys directly to the store."""
         self._loop.run(self._fill, keys)
 
     def lease(self) -> int:
@@ -78,11 +78,11 @@
         self.listed = self.do(lambda: self.store.list(prefix, self.deadline_unix_s()))
 
     def watch(self, key: str, after_version: int, meanwhile: Callable[[], Awaitable[Any]]) -> Any:
-        """Watch while something happens; return the first change, or None when it broke."""
+        """Watch while ``meanwhile`` runs; return the first change, or None if the watch broke."""
         return self._loop.run(self._watch, key, after_version, meanwhile)
 
     def answer(self, status: int, code: int) -> None:
-        """Have both URLs answer everything with an error."""
+        """Have both URLs respond to all requests with an error."""
         body = msgspec.json.encode({'code': code, 'message': 'as scripted'})
 
         async def app(scope: Any, receive: Any, send: Any) -> None:
@@ -94,7 +94,7 @@
         self.apps.update(dict.fromkeys(HOSTS, app))
 
     def limit(self, per_s: float) -> None:
-        """Fix the rates of the instance, with a burst of 10 seconds' worth."""
+        """Set the rate limits of the instance, with a burst of 10 seconds' worth."""
         self._loop.run(self._limit, per_s)
 
     def deadline_unix_s(self) -> float:
@@ -102,7 +102,7 @@
         return self.clock.now_s() + ENOUGH_S
 
     def sent(self, path: str) -> int:
-        """Return how often the gateway was asked at a path."""
+        """Return the number of requests that the gateway got for a path."""
         return self.gateway.paths.count(path)
 
     async def _open(self, hosts: tuple[str, ...]) -> None:
@@ -123,7 +123,7 @@
         found = None
         try:
             found = await call()
-            self.outcomes.append(_word(found))
+            self.outcomes.append(_outcome(found))
         except StoreUnreachable:
             self.outcomes.append('unreachable')
         except StoreWriteUnconfirmed:
@@ -149,7 +149,7 @@
 
 
 async def watch_over_socket() -> Stored:
-    """Serve the gateway on a socket, watch it, write, and return what the watch told."""
+    """Serve the gateway on a socket, watch it, write, and return what the watch reported."""
     clock = WallClock()
     memory = MemoryStore(clock)
     gateway = EtcdGateway(memory, clock)
@@ -162,7 +162,7 @@
 
 
 async def write_over_tls(certificate: str, authority: str) -> Any:
-    """Write to a gateway that shows a certificate, trusting an authority."""
+    """Write to a gateway with this certificate, trusting this authority."""
     clock = WallClock()
     gateway = EtcdGateway(MemoryStore(clock), clock)
     files = (str(CERTIFICATES / f'{certificate}.pem'), str(CERTIFICATES / f'{certificate}.key'))
@@ -175,7 +175,7 @@
         return await store.swap('a', b'new', 0, clock.now_s() + ENOUGH_S)
 
 
-def _word(found: Any) -> str:
+def _outcome(found: Any) -> str:
     if isinstance(found, Conflict):
         return f'conflict at {found.version}'
     return 'stored' if isinstance(found, Stored) else 'done'
