--- a/features/subjects/routing.py
+++ b/features/subjects/routing.py
@@ -1,4 +1,4 @@
-"""Subject: the admission of one router, with a view that the scenario makes up."""
+"""Subject: the admission of one router, with a fleet view defined by the scenario."""
 
 import asyncio
 from collections import Counter
@@ -22,10 +22,10 @@
 
 
 class FixedView:
-    """The port ``FleetView`` with what a scenario says."""
+    """Implements ``FleetView`` with the data of a scenario."""
 
     def __init__(self, engines: int, slots: int) -> None:
-        """See live engines without reports."""
+        """Initialize with live engines without load reports."""
         names = [f'engine-{number}' for number in range(engines)]
         servers = {
             name: BackendServer(name, 'porto-a', '', 'engine', ('boards',), slots=slots)
@@ -45,11 +45,11 @@
         return self.sidecars
 
     def leaving(self, instance: str) -> bool:
-        """Tell whether an instance said that it leaves."""
+        """Return whether an instance has announced that it leaves."""
         return instance in self.left
 
     def loads(self) -> dict[str, runs_pb2.Load]:
-        """Return the reports."""
+        """Return the load reports."""
         return self.reports
 
     def add_engine(self, name: str) -> None:
@@ -67,7 +67,7 @@
         )
 
     def declare(self, server: BackendServer | None, name: str) -> None:
-        """Change the declaration of a server, or take it out."""
+        """Change the declaration of a server, or remove it."""
         servers = {**self.configuration.servers, name: server}
         left = {key: declared for key, declared in servers.items() if declared}
         revision = self.configuration.revision + 1
@@ -75,7 +75,7 @@
 
 
 class RoutingSubject:
-    """Each call runs on one loop in virtual time, which stands still between the steps."""
+    """Runs each call on one event loop in virtual time, which stops between the steps."""
 
     def __init__(self, engines: int, slots: int) -> None:
         """Start the admission of one router."""
@@ -96,7 +96,7 @@
         self._runner.close()
 
     def run(self, play: Coroutine[Any, Any, Result]) -> Result:
-        """Run a play to its end."""
+        """Run a coroutine to its end."""
         return self._runner.run(play)
 
     def router(self, instance: str) -> Admission:
@@ -105,7 +105,7 @@
         return Admission(RoutingSettings(), identity, self.view, self.clock)
 
     def routing_request(self, **changes: Any) -> RoutingRequest:
-        """Return a request of its own prefix, due in 60 seconds."""
+        """Return a request with its own prefix and a deadline in 60 seconds."""
         self._number += 1
         plain = RoutingRequest(
             request_key=f'{changes.get("account", "ateliers")}/{self._number}',
@@ -125,7 +125,7 @@
     async def admit(
         self, routing_request: RoutingRequest, exclude: frozenset[str] = frozenset()
     ) -> Choice | Refusal:
-        """Ask for a place, and note what came out and after how long."""
+        """Request admission, and record the outcome and the time that it took."""
         asked_unix_s = self.clock.now_s()
         self.last = await self.admission.admit(routing_request, exclude)
         self.took_s = self.clock.now_s() - asked_unix_s
@@ -135,23 +135,23 @@
         return self.last
 
     async def ask(self, exclude: Iterable[str] = (), **changes: Any) -> Choice | Refusal:
-        """Ask for a place for a new request."""
+        """Request admission for a new request."""
         return await self.admit(self.routing_request(**changes), frozenset(exclude))
 
     async def place(self, count: int, **changes: Any) -> None:
-        """Place requests at once; each has to be placed without waiting."""
+        """Place requests; each has to be placed without waiting."""
         for _ in range(count):
             choice = await self.admit(self.routing_request(**changes))
             assert isinstance(choice, Choice), choice
             assert not self.took_s, self.took_s
 
     async def wait_with(self, count: int, **changes: Any) -> None:
-        """Let requests wait for a place."""
+        """Let requests wait in the queue."""
         for _ in range(count):
             await self._start(self.admit(self.routing_request(**changes)))
 
     async def end(self, count: int, after_s: float = 0, **told: Any) -> None:
-        """End the oldest runs, with their first token half-way."""
+        """End the oldest runs, each after its first token."""
         for _ in range(count):
             choice, routing_request = self.running.pop(0)
             self.admission.first_token(choice, routing_request)
@@ -161,12 +161,12 @@
             await anyio.wait_all_tasks_blocked()
 
     async def report(self, server: str, age_s: float = 0, **fields: Any) -> None:
-        """Hear a load report."""
+        """Add a load report to the view."""
         at_unix_s = self.clock.now_s() - age_s
         self.view.reports[server] = runs_pb2.Load(server=server, at_unix_s=at_unix_s, **fields)
 
     async def heard(self) -> None:
-        """Let the admission look at members and reports."""
+        """Let the admission refresh members and reports."""
         await anyio.sleep(2 * RoutingSettings().routing_refresh_s)
 
     def placed(self) -> Counter[str]:
@@ -175,22 +175,22 @@
         return Counter(choice.server for choice in choices)
 
     def under_way(self) -> int:
-        """Return how many requests the admission believes under way."""
+        """Return the number of requests in flight by the admission's count."""
         servers = self.admission.dump()['servers'].values()
         return sum(server['own'] for server in servers)
 
     async def learn(self, answer_s: float) -> None:
-        """Have answers of the usual length take so long, until that is learnt."""
+        """Let responses of typical length take this long until the estimate has adapted."""
         for _ in range(60):
             await self.place(1)
             await self.end(1, after_s=answer_s)
 
     async def fill(self) -> None:
-        """Take all slots."""
+        """Occupy all slots."""
         await self.place(6)
 
     async def cancel_when_placed(self) -> None:
-        """End a run, so that a waiting request is placed, and cancel that one unheard."""
+        """End a run so that a waiting request is placed, and cancel it before it is notified."""
         waiter = await self._start(self.admit(self.routing_request()))
         choice, routing_request = self.running.pop(0)
         self.admission.ended(choice, routing_request, ok=True, used_tokens=MAX_TOKENS)
@@ -198,7 +198,7 @@
         await anyio.wait_all_tasks_blocked()
 
     async def see_failures(self, server: str, count: int) -> None:
-        """Have runs on one server fail, one after the other."""
+        """Let runs on one server fail, one after the other."""
         others = frozenset(self.view.configuration.servers) - {server}
         for _ in range(count):
             choice = await self.admit(self.routing_request(prefix_hashes=(PREFIX,)), others)
@@ -207,13 +207,13 @@
         self.outcomes.clear()
 
     async def refuse_at_once(self) -> None:
-        """End the oldest run before it began."""
+        """End the oldest run before it starts."""
         choice, routing_request = self.running.pop(0)
         self.admission.ended(choice, routing_request, ok=True, used_tokens=0)
         self.outcomes.clear()
 
     async def never_ran(self, count: int) -> None:
-        """Place requests whose attempts never begin."""
+        """Place requests whose attempts never start."""
         for _ in range(count):
             routing_request = self.routing_request()
             choice = await self.admission.admit(routing_request)
@@ -221,7 +221,7 @@
             self.admission.ended(choice, routing_request, ok=True, used_tokens=0)
 
     async def _start(self, work: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]:
-        """Start a task that outlives the step, and let it run until it waits."""
+        """Start a task that continues after the step, and let it run until it waits."""
         task = asyncio.get_running_loop().create_task(work)
         self._tasks.add(task)
         await anyio.wait_all_tasks_blocked()
--- a/features/subjects/routing_engine.py
+++ b/features/subjects/routing_engine.py
@@ -1,4 +1,4 @@
-"""Subject: the fake engine that batches continuously."""
+"""Subject: the fake engine with continuous batching."""
 
 from collections.abc import Awaitable, Callable
 from typing import Any
@@ -13,15 +13,15 @@
 
 
 class RoutingEngine:
-    """Plays on one engine in virtual time."""
+    """Runs scenarios on one engine in virtual time."""
 
     def __init__(self, model: EngineModel = EngineModel()) -> None:
-        """Make an idle engine without randomness."""
+        """Initialize with an idle engine without randomness."""
         self.engine = BatchingEngine('engine-0', model._replace(jitter=0), seed=1)
         self.clock = LoopClock()
 
     def play(self, play: Callable[[], Awaitable[Any]]) -> Any:
-        """Run a play with the engine at work."""
+        """Run a scenario while the engine runs."""
 
         async def main() -> Any:
             async with anyio.create_task_group() as tasks:
@@ -33,21 +33,21 @@
         return virtual.run(main)
 
     def submit(self, tokens: int = 10, priority: int = 1, hashes: tuple[int, ...] = ()) -> Job:
-        """Give the engine a request."""
+        """Submit a request to the engine."""
         prompt_tokens = max(1, len(hashes)) * self.engine.model.block_tokens
         job = Job(prompt_tokens, tokens, priority, hashes)
         self.engine.submit(job)
         return job
 
     async def answer_s(self, count: int) -> float:
-        """Return how long so many answers take at once."""
+        """Return how long ``count`` concurrent responses take."""
         began_unix_s = self.clock.now_s()
         for job in [self.submit(tokens=100) for _ in range(count)]:
             await job.done.wait()
         return self.clock.now_s() - began_unix_s
 
     async def first_s(self, hashes: tuple[int, ...]) -> float:
-        """Return how long a first token takes."""
+        """Return the time to the first token."""
         began_unix_s = self.clock.now_s()
         job = self.submit(hashes=hashes)
         await job.first.wait()
@@ -56,14 +56,14 @@
         return took_s
 
     async def read_again(self) -> list[float]:
-        """Read a prompt, again, and again after enough others to evict it."""
+        """Process a prompt twice, and again after enough others to evict it."""
         took_s = [await self.first_s(PROMPT), await self.first_s(PROMPT)]
         for number in range(1, 60):
             await self.first_s(tuple(number * 1000 + block for block in PROMPT))
         return [*took_s, await self.first_s(PROMPT)]
 
     async def urgent_first(self) -> tuple[int, int]:
-        """Return the steps in which a plain and an urgent request began."""
+        """Return the steps in which a plain and an urgent request started."""
         for _ in range(self.engine.model.most_batch):
             self.submit(tokens=20)
         await anyio.sleep(0.01)
@@ -74,7 +74,7 @@
         return plain.first_step, urgent.first_step
 
     async def cancel_all(self) -> tuple[int, int]:
-        """Cancel requests that decode, are read and wait; return what is left."""
+        """Cancel requests in decoding, in prefill and waiting; return the remaining counts."""
         jobs = [self.submit(tokens=500) for _ in range(4)]
         await jobs[-1].first.wait()
         jobs += [self.submit(tokens=500, hashes=PROMPT) for _ in range(60)]
@@ -86,7 +86,7 @@
         return self.engine.running, self.engine.waiting
 
     async def report_twice(self) -> list[int]:
-        """Return how many blocks two reports tell of."""
+        """Return the number of cached blocks in each of two reports."""
         await self.first_s(PROMPT)
         reports = [self.engine.load(self.clock.now_s()) for _ in range(2)]
         assert reports[0].cache_event == reports[1].cache_event == 1
--- a/features/subjects/routing_load.py
+++ b/features/subjects/routing_load.py
@@ -1,4 +1,4 @@
-"""Subject: the bench of routing before fake engines."""
+"""Subject: the routing benchmark with fake engines."""
 
 from types import MappingProxyType
 
@@ -12,10 +12,10 @@
 
 
 class RoutingLoad:
-    """Runs of the bench, shorter than those that are reported."""
+    """Runs of the benchmark, shorter than the published ones."""
 
     def __init__(self) -> None:
-        """Start without runs."""
+        """Initialize with no runs."""
         self.runs: list[Figures] = []
 
     @property
@@ -26,7 +26,7 @@
     def run(
         self, firm: str, load: float = 1, fault: str = 'steady', policy: str = EARLIEST
     ) -> None:
-        """Make one run."""
+        """Run the benchmark once."""
         until_s = UNTIL_S if fault == 'steady' else FAULTY_UNTIL_S
         run = Run(firm, policy, CAPACITY[firm] * load, fault, until_s=until_s)
         self.runs.append(measure(run))
