--- a/packages/fleet/src/endivesaddle/fleet/budgets/transfers.py
+++ b/packages/fleet/src/endivesaddle/fleet/budgets/transfers.py
@@ -75,7 +75,7 @@
             return holders_pb2.TransferReply(reason='not the holder')
         parsed_id = _parsed(message)
         if parsed_id is None or parsed_id.donor != held.holder_epoch:
-            return holders_pb2.TransferReply(reason='the transfer is for another epoch')
+            return holders_pb2.TransferReply(reason='meant for another epoch')
         ledger = held.ledger(message.account)
         if message.direct or not held.reachable:
             return self._give_directly(held, ledger, message, parsed_id)
--- a/packages/fleet/src/endivesaddle/fleet/requests/deciding.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/deciding.py
@@ -207,7 +207,7 @@
         CLAIM_YIELDED.log(request_key=message.request_key, to=data_centre)
         return holders_pb2.ClaimReply(
             verdict=states.NOT_HOLDER,
-            reason=f'the claim in {data_centre} has precedence',
+            reason=f'the claim in {data_centre} goes first',
             holder=self._context.budgets.holder_address(message.account, data_centre),
         )
 
--- a/packages/fleet/src/endivesaddle/fleet/requests/records.py
+++ b/packages/fleet/src/endivesaddle/fleet/requests/records.py
@@ -175,7 +175,7 @@
         try:
             add_reply(await self._context.peers.call(address, rpcs.FIND, message, deadline_unix_s))
         except (PeerUnreachable, PeerNoReply, PeerRefused):
-            name = address or 'an unknown holder'
+            name = address or 'a holder that is not known'
             add_reply(holders_pb2.FindReply(reason=f'{name} did not answer'))
 
 
--- a/packages/fleet/src/endivesaddle/fleet/routes/shared_polls.py
+++ b/packages/fleet/src/endivesaddle/fleet/routes/shared_polls.py
@@ -116,7 +116,7 @@
                 await followed.changed.wait()
         found = followed.since(after_version)
         if followed.ended and not found:
-            raise StoreUnreachable(f'the poll of {prefix} was not answered')
+            raise StoreUnreachable(f'the poll of {prefix} has no answer')
         return Changes(found, max(after_version, followed.version))
 
     def _followed_since(self, prefix: str, version: int) -> _Followed | None:
