--- a/packages/fleet/src/endivesaddle/fleet/budgets/transfers.py
+++ b/packages/fleet/src/endivesaddle/fleet/budgets/transfers.py
@@ -174,7 +174,7 @@
         ledger.offered = max(ledger.offered, tokens)
         ledger.pending.gave_unix_s = self._clock.now_s()
         await self._shard_manager.write(held)
-        reason = 'returned to the store' if held.reachable else 'the store is unavailable'
+        reason = 'given back to the store' if held.reachable else 'the store is not reached'
         return holders_pb2.TransferReply(tokens=tokens, from_epoch=held.epoch, reason=reason)
 
     def _spare(self, held: HeldShard, ledger: Ledger, message: holders_pb2.TransferRequest) -> int:
